--- a/toucanrudder/forwarding/daemon.py
+++ b/toucanrudder/forwarding/daemon.py
@@ -232,7 +232,9 @@
             me,
             timeout_s=self.conf.store.timeout_s,
             rng=self.rng,
-            terms=decision.terms_within(self.conf.weights.lease_ms / 1000),
+            timing=decision.timing_for_failover(
+                self.conf.weights.lease_ms / 1000
+            ),
         )
 
     def _rollout(self, lease: holder.LeaseHolder) -> orders.RolloutController:
--- a/toucanrudder/forwarding/tests/test_orders.py
+++ b/toucanrudder/forwarding/tests/test_orders.py
@@ -102,7 +102,7 @@
             state.name,
             rng=rng,
             clock=clock.now_s,
-            terms=decision.terms_within(3.0),
+            timing=decision.timing_for_failover(3.0),
         )
 
         async def avoid(incarnation, for_s):
--- a/toucanrudder/leases/decision.py
+++ b/toucanrudder/leases/decision.py
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen
-class Terms:
+class LeaseTiming:
     """How long a lease is held, and what is left between two holders.
 
     Parameters
@@ -47,7 +47,7 @@
         return self.term_s + self.margin_s
 
 
-DEFAULT_TERMS = Terms()
+DEFAULT_TIMING = LeaseTiming()
 
 #: Parts of the time within which another holder must follow.  A silent
 #: holder acts for two thirds of it; the next takes the lease after 14/15,
@@ -57,7 +57,7 @@
 MARGIN_SHARE = 2 / 15
 
 
-def terms_within(failover_s: float) -> Terms:
+def timing_for_failover(failover_s: float) -> LeaseTiming:
     """Return the terms under which another holder follows in time.
 
     Parameters
@@ -68,11 +68,11 @@
 
     Examples
     --------
-    >>> terms = terms_within(3.0)
-    >>> round(terms.held_s, 6), round(terms.lapse_s, 6)
+    >>> timing = timing_for_failover(3.0)
+    >>> round(timing.held_s, 6), round(timing.lapse_s, 6)
     (2.0, 2.8)
     """
-    return Terms(TERM_SHARE * failover_s, MARGIN_SHARE * failover_s)
+    return LeaseTiming(TERM_SHARE * failover_s, MARGIN_SHARE * failover_s)
 
 
 #: Fencing numbers for each era of a store: what an older copy lacks, nobody
@@ -171,7 +171,7 @@
     seen: Seen | None,
     me: str,
     now_s: float,
-    terms: Terms = DEFAULT_TERMS,
+    timing: LeaseTiming = DEFAULT_TIMING,
     *,
     restored_s: float = float("-inf"),
     is_held: bool = False,
@@ -189,7 +189,7 @@
         Identity of this process.
     now_s : float
         Monotonic time.
-    terms : Terms
+    timing : LeaseTiming
         The same for all processes that want the lease.
     restored_s : float
         Monotonic time at which this process noticed that the store was
@@ -206,7 +206,7 @@
     >>> next_step(seen, "me", now_s=TERM_S + MARGIN_S)
     <Step.TAKE: 'take'>
     """
-    may_be_others = now_s - restored_s < terms.lapse_s
+    may_be_others = now_s - restored_s < timing.lapse_s
     if seen is not None and seen.record.holder == me:
         return Step.RENEW if is_held or not may_be_others else Step.WAIT
     if may_be_others:
@@ -217,10 +217,10 @@
         return Step.TAKE
     # Engines that ignore fencing numbers would obey two holders.  So the
     # old holder's time, by its own clock, must have passed before.
-    lapsed = now_s - seen.since_s >= terms.lapse_s
+    lapsed = now_s - seen.since_s >= timing.lapse_s
     return Step.TAKE if lapsed else Step.WAIT
 
 
-def until_s(sent_s: float, terms: Terms = DEFAULT_TERMS) -> float:
+def until_s(sent_s: float, timing: LeaseTiming = DEFAULT_TIMING) -> float:
     """Return until when a write sent at `sent_s` lets the holder act."""
-    return sent_s + terms.held_s
+    return sent_s + timing.held_s
--- a/toucanrudder/leases/holder.py
+++ b/toucanrudder/leases/holder.py
@@ -60,7 +60,7 @@
         For jitter.
     clock : callable
         Time that runs on while the host is suspended.
-    terms : decision.Terms
+    timing : decision.LeaseTiming
         The same for all processes that want the lease.
     """
 
@@ -76,7 +76,7 @@
         timeout_s: float = 1.0,
         rng: random.Random | None = None,
         clock: Callable[[], float] = clocks.now_s,
-        terms: decision.Terms = decision.DEFAULT_TERMS,
+        timing: decision.LeaseTiming = decision.DEFAULT_TIMING,
     ):
         self._store = store
         self.name = name
@@ -87,7 +87,7 @@
         self._timeout_s = timeout_s
         self._rng = rng or random.Random()
         self._clock = clock
-        self.terms = terms
+        self.timing = timing
         self._seen: decision.Seen | None = None
         self._lease: decision.Lease | None = None
         self._era = 0
@@ -151,7 +151,7 @@
             self._seen,
             self.me,
             now_s,
-            self.terms,
+            self.timing,
             restored_s=self._restored_s,
             is_held=self._lease is not None and self._lease.is_valid(now_s),
         )
@@ -278,7 +278,7 @@
         self, record: decision.Record, sent_s: float, released: bool
     ) -> None:
         before = self._lease
-        until_s = decision.until_s(sent_s, self.terms)
+        until_s = decision.until_s(sent_s, self.timing)
         if before is not None and before.fencing == record.fencing:
             self._lease = attrs.evolve(before, until_s=until_s, era=self._era)
             return
--- a/toucanrudder/leases/tests/test_leases.py
+++ b/toucanrudder/leases/tests/test_leases.py
@@ -308,7 +308,7 @@
 
     def __init__(self, store, true, me, failover_s):
         super().__init__(store, true, me)
-        self.holder.terms = decision.terms_within(failover_s)
+        self.holder.timing = decision.timing_for_failover(failover_s)
 
     async def turn(self):
         stored = await self.holder._store.get(
--- a/toucanrudder/leases/tests/test_restored_stores.py
+++ b/toucanrudder/leases/tests/test_restored_stores.py
@@ -15,7 +15,7 @@
 
 NAMES = ("a", "b", "c", "d")
 LEASE = "orders"
-TERMS = decision.terms_within(3.0)
+TERMS = decision.timing_for_failover(3.0)
 DAY_S = 40.0
 LOOK_S = 0.01
 
@@ -39,7 +39,7 @@
                 LEASE,
                 name,
                 clock=self.now_s,
-                terms=TERMS,
+                timing=TERMS,
                 timeout_s=0.5,
             )
             for name in NAMES
