--- a/toucanrudder/forwarding/orders.py
+++ b/toucanrudder/forwarding/orders.py
@@ -214,7 +214,7 @@
         if since_s >= self._state.pace.bound_s:
             return True
         has_new = any(task.key not in self._given_up for task in left)
-        return has_new and since_s >= self._lease.timing.lapse_s
+        return has_new and since_s >= self._lease.timing.takeover_after_s
 
     def _is_my_turn(self, left: list[rollout.Task], now_s: float) -> bool:
         if self._held_before:
@@ -226,12 +226,12 @@
             self._place_in_line(),
             IN_LINE_S,
             self._state.registry.overdue_s(now_s),
-            self._lease.timing.lapse_s,
+            self._lease.timing.takeover_after_s,
         )
 
     async def _holds(self, now_s: float) -> bool:
         lease = self._lease.held(now_s)
-        renew_below_s = RENEW_SHARE * self._lease.timing.held_s
+        renew_below_s = RENEW_SHARE * self._lease.timing.validity_s
         if lease is None and self._lease.is_others(now_s):
             self._note_lease(None)
             return False
@@ -297,7 +297,7 @@
         time.  The engine has weights that are at most that old, so
         waiting costs nothing.
         """
-        quiet_s = self._lease.timing.lapse_s
+        quiet_s = self._lease.timing.takeover_after_s
         return [
             each
             for each in engines
--- a/toucanrudder/leases/decision.py
+++ b/toucanrudder/leases/decision.py
@@ -37,12 +37,12 @@
     margin_s: float = MARGIN_S
 
     @property
-    def held_s(self) -> float:
+    def validity_s(self) -> float:
         """Time after a write for which its writer may act."""
         return self.term_s - self.margin_s
 
     @property
-    def lapse_s(self) -> float:
+    def takeover_after_s(self) -> float:
         """Time without a write after which another may take the lease."""
         return self.term_s + self.margin_s
 
@@ -69,7 +69,7 @@
     Examples
     --------
     >>> timing = timing_for_failover(3.0)
-    >>> round(timing.held_s, 6), round(timing.lapse_s, 6)
+    >>> round(timing.validity_s, 6), round(timing.takeover_after_s, 6)
     (2.0, 2.8)
     """
     return LeaseTiming(TERM_SHARE * failover_s, MARGIN_SHARE * failover_s)
@@ -206,7 +206,7 @@
     >>> next_step(seen, "me", now_s=TERM_S + MARGIN_S)
     <Step.TAKE: 'take'>
     """
-    may_be_others = now_s - restored_s < timing.lapse_s
+    may_be_others = now_s - restored_s < timing.takeover_after_s
     if seen is not None and seen.record.holder == me:
         return Step.RENEW if is_held or not may_be_others else Step.WAIT
     if may_be_others:
@@ -217,10 +217,10 @@
         return Step.TAKE
     # Engines that ignore fencing numbers would obey two holders.  So the
     # old holder's time, by its own clock, must have passed before.
-    lapsed = now_s - seen.since_s >= timing.lapse_s
+    lapsed = now_s - seen.since_s >= timing.takeover_after_s
     return Step.TAKE if lapsed else Step.WAIT
 
 
 def until_s(sent_s: float, timing: LeaseTiming = DEFAULT_TIMING) -> float:
     """Return until when a write sent at `sent_s` lets the holder act."""
-    return sent_s + timing.held_s
+    return sent_s + timing.validity_s
