--- a/toucanrudder/forwarding/loading.py
+++ b/toucanrudder/forwarding/loading.py
@@ -205,7 +205,7 @@
                 version=task.version,
                 had_version=had,
                 fencing=lease.fencing,
-                lease_left_s=lease.until_s - clock.now_s(),
+                lease_left_s=lease.valid_until_s - clock.now_s(),
                 expected_orders=report.orders,
                 running=report.running,
                 reading=report.reading,
--- a/toucanrudder/forwarding/orders.py
+++ b/toucanrudder/forwarding/orders.py
@@ -235,7 +235,7 @@
         if lease is None and self._lease.is_others(now_s):
             self._note_lease(None)
             return False
-        if lease is None or lease.until_s - now_s < renew_below_s:
+        if lease is None or lease.valid_until_s - now_s < renew_below_s:
             with contextlib.suppress(*_STORE_ERRORS):
                 await self._lease.look()
             lease = self._lease.held(clock.now_s())
@@ -254,7 +254,7 @@
             decisions.LeaseChanged(
                 held=lease is not None,
                 fencing=lease.fencing if lease else 0,
-                left_s=lease.until_s - clock.now_s() if lease else 0.0,
+                left_s=lease.valid_until_s - clock.now_s() if lease else 0.0,
             )
         )
 
--- a/toucanrudder/leases/decision.py
+++ b/toucanrudder/leases/decision.py
@@ -109,7 +109,7 @@
         Number that orders carry.
     acquired_s : float
         Monotonic time at which it was first held.
-    until_s : float
+    valid_until_s : float
         Monotonic time at which this process must have stopped acting.
     follows_release : bool
         Whether another gave it up, whose last order may still be on its
@@ -120,13 +120,13 @@
 
     fencing: int
     acquired_s: float
-    until_s: float
+    valid_until_s: float
     follows_release: bool = False
     era: int = 0
 
     def is_valid(self, now_s: float) -> bool:
         """Say whether the holder may act now."""
-        return now_s < self.until_s
+        return now_s < self.valid_until_s
 
 
 @attrs.frozen
@@ -221,6 +221,8 @@
     return Step.TAKE if lapsed else Step.WAIT
 
 
-def until_s(sent_s: float, timing: LeaseTiming = DEFAULT_TIMING) -> float:
+def valid_until_s(
+    sent_s: float, timing: LeaseTiming = DEFAULT_TIMING
+) -> float:
     """Return until when a write sent at `sent_s` lets the holder act."""
     return sent_s + timing.validity_s
--- a/toucanrudder/leases/holder.py
+++ b/toucanrudder/leases/holder.py
@@ -278,13 +278,15 @@
         self, record: decision.Record, sent_s: float, released: bool
     ) -> None:
         before = self._lease
-        until_s = decision.until_s(sent_s, self.timing)
+        valid_until_s = decision.valid_until_s(sent_s, self.timing)
         if before is not None and before.fencing == record.fencing:
-            self._lease = attrs.evolve(before, until_s=until_s, era=self._era)
+            self._lease = attrs.evolve(
+                before, valid_until_s=valid_until_s, era=self._era
+            )
             return
         _count("acquired")
         self._lease = decision.Lease(
-            record.fencing, self._clock(), until_s, released, self._era
+            record.fencing, self._clock(), valid_until_s, released, self._era
         )
 
     def _forget(self) -> None:
