--- a/toucanrudder/forwarding/orders.py
+++ b/toucanrudder/forwarding/orders.py
@@ -232,7 +232,7 @@
     async def _holds(self, now_s: float) -> bool:
         lease = self._lease.held(now_s)
         renew_below_s = RENEW_SHARE * self._lease.timing.validity_s
-        if lease is None and self._lease.is_others(now_s):
+        if lease is None and self._lease.is_held_by_other(now_s):
             self._note_lease(None)
             return False
         if lease is None or lease.valid_until_s - now_s < renew_below_s:
--- a/toucanrudder/leases/holder.py
+++ b/toucanrudder/leases/holder.py
@@ -156,7 +156,7 @@
             is_held=self._lease is not None and self._lease.is_valid(now_s),
         )
 
-    def is_others(self, now_s: float) -> bool:
+    def is_held_by_other(self, now_s: float) -> bool:
         """Whether another is known to hold it; asking would tell no more."""
         return self._next_step(now_s) is decision.Step.WAIT
 
@@ -204,8 +204,8 @@
         if self._lease is None or self._seen is None:
             return
         self._forget()
-        is_others = self._seen.record.holder != self.me
-        if is_others or self._seen.position.era != self._store.era:
+        is_held_by_other = self._seen.record.holder != self.me
+        if is_held_by_other or self._seen.position.era != self._store.era:
             # A watch has told that another took it over meanwhile, or
             # another's write may have the same version.
             return
--- a/toucanrudder/leases/tests/test_leases.py
+++ b/toucanrudder/leases/tests/test_leases.py
@@ -316,7 +316,7 @@
         )
         if stored is not None:
             self.holder.observe(stored, self.clock())
-        if not self.holder.is_others(self.clock()):
+        if not self.holder.is_held_by_other(self.clock()):
             await self.look()
 
 
