--- a/toucanrudder/forwarding/orders.py
+++ b/toucanrudder/forwarding/orders.py
@@ -237,7 +237,7 @@
             return False
         if lease is None or lease.valid_until_s - now_s < renew_below_s:
             with contextlib.suppress(*_STORE_ERRORS):
-                await self._lease.look()
+                await self._lease.reconcile()
             lease = self._lease.held(clock.now_s())
         self._note_lease(lease)
         if lease is None:
--- a/toucanrudder/leases/holder.py
+++ b/toucanrudder/leases/holder.py
@@ -173,10 +173,10 @@
                 await self.release()
             elif self._lease is not None or self._is_candidate():
                 with contextlib.suppress(*_FAILED):
-                    await self.look()
+                    await self.reconcile()
             await asyncio.sleep(LOOK_S * self._rng.uniform(0.75, 1.0))
 
-    async def look(self) -> None:
+    async def reconcile(self) -> None:
         """Read the lease once and do what follows from it.
 
         Raises the store's exceptions; calling again is always safe.
--- a/toucanrudder/leases/tests/test_leases.py
+++ b/toucanrudder/leases/tests/test_leases.py
@@ -49,13 +49,13 @@
     def held(self):
         return self.holder.held(self.clock())
 
-    async def look(self):
+    async def reconcile(self):
         with contextlib.suppress(
             interface.ConditionFailed,
             interface.StoreUnavailable,
             interface.OutcomeUnknown,
         ):
-            await self.holder.look()
+            await self.holder.reconcile()
 
 
 @hypothesis.settings(
@@ -81,8 +81,8 @@
         }
 
     @stateful.rule(name=names)
-    def look(self, name):
-        asyncio.run(self.contenders[name].look())
+    def reconcile(self, name):
+        asyncio.run(self.contenders[name].reconcile())
 
     @stateful.rule(seconds=strategies.sampled_from([0.5, 2, 8, 9.8, 12, 30]))
     def passes(self, seconds):
@@ -135,17 +135,17 @@
     """
     store, true = memory.MemoryObjectStore(), [0.0]
     one, two = (Contender(store, true, name) for name in "ab")
-    await one.look()
+    await one.reconcile()
     first = one.holder.check(true[0])
-    await two.look()
+    await two.reconcile()
     true[0] += ENOUGH_S
-    await two.look()
+    await two.reconcile()
     second = two.holder.check(true[0])
     assert second.fencing > first.fencing
     with pytest.raises(errors.RudderError) as caught:
         one.holder.check(true[0])
     assert caught.value.code is errors.Code.LEASE_LOST
-    await one.look()
+    await one.reconcile()
     assert two.held()
     assert not one.held()
 
@@ -154,19 +154,19 @@
 async def test_another_waits_out_the_margin(passed_s):
     store, true = memory.MemoryObjectStore(), [0.0]
     one, two = (Contender(store, true, name) for name in "ab")
-    await one.look()
-    await two.look()
+    await one.reconcile()
+    await two.reconcile()
     true[0] += passed_s
-    await two.look()
+    await two.reconcile()
     assert not two.held()
 
 
 async def test_a_released_lease_is_taken_at_once():
     store, true = memory.MemoryObjectStore(), [0.0]
     one, two = (Contender(store, true, name) for name in "ab")
-    await one.look()
+    await one.reconcile()
     await one.holder.release()
-    await two.look()
+    await two.reconcile()
     assert two.held().fencing == 2
     assert not one.held()
 
@@ -179,12 +179,12 @@
     """
     store, true, floor = memory.MemoryObjectStore(), [0.0], [0]
     one = Contender(store, true, "a", floor=lambda: floor[0])
-    await one.look()
+    await one.reconcile()
     floor[0] = 41
-    await one.look()
+    await one.reconcile()
     assert one.held().fencing == 42
     floor[0] = 42
-    await one.look()
+    await one.reconcile()
     assert one.held().fencing == 42
 
 
@@ -317,7 +317,7 @@
         if stored is not None:
             self.holder.observe(stored, self.clock())
         if not self.holder.is_held_by_other(self.clock()):
-            await self.look()
+            await self.reconcile()
 
 
 @pytest.mark.parametrize("failover_s", [1.0, FAILOVER_S])
@@ -433,13 +433,13 @@
     """It wakes from a pause, is told of the next holder, and stops."""
     store, true = memory.MemoryObjectStore(), [100.0]
     first, second, third = (Contender(store, true, name) for name in "abc")
-    await first.look()
+    await first.reconcile()
     for contender in (second, third):
-        await contender.look()
+        await contender.reconcile()
     true[0] += ENOUGH_S
-    await second.look()
+    await second.reconcile()
     found = await store.get(holder.KIND, "weights", timeout_s=1)
     first.holder.observe(found, first.clock())
     await first.holder.release()
-    await third.look()
+    await third.reconcile()
     assert second.held() and not third.held()
--- a/toucanrudder/leases/tests/test_restored_stores.py
+++ b/toucanrudder/leases/tests/test_restored_stores.py
@@ -54,7 +54,7 @@
                 if self.rng.random() < 0.1:
                     await found.release()
                 else:
-                    await found.look()
+                    await found.reconcile()
 
     async def other_writes(self):
         """Let revisions rise, and copy the store."""
