--- a/toucanrudder/forwarding/loading.py
+++ b/toucanrudder/forwarding/loading.py
@@ -189,7 +189,7 @@
                 task,
                 report,
                 mode=mode,
-                holder=self._lease.me,
+                holder=self._lease.holder_id,
                 fencing=lease.fencing,
                 timeout_s=CALL_S,
             )
--- a/toucanrudder/leases/decision.py
+++ b/toucanrudder/leases/decision.py
@@ -169,7 +169,7 @@
 
 def next_step(
     seen: Seen | None,
-    me: str,
+    holder_id: str,
     now_s: float,
     timing: LeaseTiming = DEFAULT_TIMING,
     *,
@@ -185,7 +185,7 @@
     ----------
     seen : Seen or None
         The lease's object as last read; None if there is none.
-    me : str
+    holder_id : str
         Identity of this process.
     now_s : float
         Monotonic time.
@@ -207,7 +207,7 @@
     <Step.TAKE: 'take'>
     """
     may_be_others = now_s - restored_s < timing.takeover_after_s
-    if seen is not None and seen.record.holder == me:
+    if seen is not None and seen.record.holder == holder_id:
         return Step.RENEW if is_held or not may_be_others else Step.WAIT
     if may_be_others:
         return Step.WAIT
--- a/toucanrudder/leases/holder.py
+++ b/toucanrudder/leases/holder.py
@@ -45,7 +45,7 @@
         Where the lease is kept.
     name : str
         The lease's name.
-    me : str
+    holder_id : str
         Identity of this process, unique also over restarts.
     is_candidate : callable
         Whether this process should try to get the lease.
@@ -68,7 +68,7 @@
         self,
         store: interface.ConditionalStore,
         name: str,
-        me: str,
+        holder_id: str,
         *,
         is_candidate: Callable[[], bool] = lambda: True,
         is_able: Callable[[], bool] = lambda: True,
@@ -80,7 +80,7 @@
     ):
         self._store = store
         self.name = name
-        self.me = me
+        self.holder_id = holder_id
         self._is_candidate = is_candidate
         self._is_able = is_able
         self._floor = floor
@@ -149,7 +149,7 @@
     def _next_step(self, now_s: float) -> decision.Step:
         return decision.next_step(
             self._seen,
-            self.me,
+            self.holder_id,
             now_s,
             self.timing,
             restored_s=self._restored_s,
@@ -204,7 +204,7 @@
         if self._lease is None or self._seen is None:
             return
         self._forget()
-        is_held_by_other = self._seen.record.holder != self.me
+        is_held_by_other = self._seen.record.holder != self.holder_id
         if is_held_by_other or self._seen.position.era != self._store.era:
             # A watch has told that another took it over meanwhile, or
             # another's write may have the same version.
@@ -263,7 +263,7 @@
             # and engines that check would refuse a number they are past.
             least = decision.least_fencing(self._era)
             fencing = max(fencing, floor, least) + 1
-        return decision.Record(self.me, fencing, uuid.uuid4().hex)
+        return decision.Record(self.holder_id, fencing, uuid.uuid4().hex)
 
     async def _version_if_written(self, record: decision.Record) -> int:
         found = await self._store.get(
