--- a/toucanrudder/leases/holder.py
+++ b/toucanrudder/leases/holder.py
@@ -49,9 +49,9 @@
         Identity of this process, unique also over restarts.
     is_candidate : callable
         Whether this process should try to get the lease.
-    is_able : callable
+    can_act : callable
         Whether this process could do what the lease is for.
-    floor : callable
+    fencing_floor : callable
         Highest fencing number known to be in use; the lease's object may
         be older than that after the store came back in an older state.
     timeout_s : float
@@ -71,8 +71,8 @@
         holder_id: str,
         *,
         is_candidate: Callable[[], bool] = lambda: True,
-        is_able: Callable[[], bool] = lambda: True,
-        floor: Callable[[], int] = lambda: 0,
+        can_act: Callable[[], bool] = lambda: True,
+        fencing_floor: Callable[[], int] = lambda: 0,
         timeout_s: float = 1.0,
         rng: random.Random | None = None,
         clock: Callable[[], float] = clocks.now_s,
@@ -82,8 +82,8 @@
         self.name = name
         self.holder_id = holder_id
         self._is_candidate = is_candidate
-        self._is_able = is_able
-        self._floor = floor
+        self._is_able = can_act
+        self._fencing_floor = fencing_floor
         self._timeout_s = timeout_s
         self._rng = rng or random.Random()
         self._clock = clock
@@ -251,7 +251,7 @@
 
     def _next_record(self, step: decision.Step) -> decision.Record:
         before = self._seen.record if self._seen else decision.Record()
-        floor = self._floor()
+        floor = self._fencing_floor()
         fencing, lease = before.fencing, self._lease
         is_renewal = (
             step is decision.Step.RENEW
--- a/toucanrudder/leases/tests/test_leases.py
+++ b/toucanrudder/leases/tests/test_leases.py
@@ -41,7 +41,7 @@
             store,
             "weights",
             me,
-            floor=floor,
+            fencing_floor=floor,
             rng=random.Random(me),
             clock=self.clock,
         )
@@ -409,7 +409,7 @@
                 store,
                 "weights",
                 me,
-                is_able=lambda me=me: me == "b" or clock.now_s() < deaf_from_s,
+                can_act=lambda me=me: me == "b" or clock.now_s() < deaf_from_s,
                 rng=random.Random(me),
                 clock=clock.now_s,
             )
--- a/toucanrudder/router/assembly.py
+++ b/toucanrudder/router/assembly.py
@@ -115,8 +115,8 @@
         weight_controllers.LEASE,
         f"{name}.{uuid.uuid4().hex}",
         is_candidate=is_candidate,
-        is_able=hears_engines,
-        floor=highest_fencing,
+        can_act=hears_engines,
+        fencing_floor=highest_fencing,
         timeout_s=state.conf.store.timeout_s,
         rng=state.rng,
     )
