--- a/toucanrudder/controllers/weights.py
+++ b/toucanrudder/controllers/weights.py
@@ -99,7 +99,7 @@
         """Give the orders that are due."""
         now_s, lease_now_s = self._clock(), self._lease_clock()
         document = self._document()
-        lease = self._holder.held(lease_now_s)
+        lease = self._holder.current_lease(lease_now_s)
         if lease is None or document is None:
             self._ordered_s.clear()
             return
@@ -149,7 +149,7 @@
         # another took the lease over.  Engines that check would refuse
         # the old number; for the others this check, the margin and the
         # order's timeout keep two holders' orders apart.
-        lease = self._holder.check(self._lease_clock())
+        lease = self._holder.require_lease(self._lease_clock())
         self._ordered_s[order.upstream.name] = self._clock()
         async with self._session.post(
             f"http://{order.upstream.address}/orders",
--- a/toucanrudder/forwarding/loading.py
+++ b/toucanrudder/forwarding/loading.py
@@ -182,7 +182,7 @@
         # Versions named while the engine was emptied are skipped.
         newest = self._state.newest_weights[task.model].version
         task = attrs.evolve(task, version=newest)
-        lease = self._lease.check(clock.now_s())
+        lease = self._lease.require_lease(clock.now_s())
         self.calls += 1
         try:
             taken = await self._dialect.load(
--- a/toucanrudder/forwarding/orders.py
+++ b/toucanrudder/forwarding/orders.py
@@ -155,7 +155,7 @@
     async def _end_turn(
         self, ending: turns.Ending, left: list[rollout.Task], now_s: float
     ) -> None:
-        lease = self._lease.held(now_s)
+        lease = self._lease.current_lease(now_s)
         decisions.record(
             decisions.TurnEnded(
                 reason=ending.value,
@@ -230,7 +230,7 @@
         )
 
     async def _holds(self, now_s: float) -> bool:
-        lease = self._lease.held(now_s)
+        lease = self._lease.current_lease(now_s)
         renew_below_s = RENEW_SHARE * self._lease.timing.validity_s
         if lease is None and self._lease.is_held_by_other(now_s):
             self._note_lease(None)
@@ -238,7 +238,7 @@
         if lease is None or lease.valid_until_s - now_s < renew_below_s:
             with contextlib.suppress(*_STORE_ERRORS):
                 await self._lease.reconcile()
-            lease = self._lease.held(clock.now_s())
+            lease = self._lease.current_lease(clock.now_s())
         self._note_lease(lease)
         if lease is None:
             # The store gave no answer, or another was faster.
@@ -259,7 +259,7 @@
         )
 
     def _give(self, now_s: float) -> None:
-        lease = self._lease.held(now_s)
+        lease = self._lease.current_lease(now_s)
         if lease is None:
             return
         settle_s = SETTLE_S if lease.follows_release else 0.0
@@ -398,7 +398,7 @@
         if now_s - self._noted_s.get(name, float("-inf")) < NOTE_S:
             return
         self._noted_s[name] = now_s
-        lease = self._lease.held(now_s)
+        lease = self._lease.current_lease(now_s)
         decisions.record(
             decisions.OrderMissed(
                 upstream=name,
--- a/toucanrudder/leases/holder.py
+++ b/toucanrudder/leases/holder.py
@@ -93,7 +93,7 @@
         self._era = 0
         self._restored_s = float("-inf")
 
-    def held(self, now_s: float) -> decision.Lease | None:
+    def current_lease(self, now_s: float) -> decision.Lease | None:
         """Return the lease if this process may act on it now.
 
         A lease that was written before the store was restored may be lost.
@@ -103,7 +103,7 @@
             return None
         return lease if lease.is_valid(now_s) else None
 
-    def check(self, now_s: float) -> decision.Lease:
+    def require_lease(self, now_s: float) -> decision.Lease:
         """Return the lease; call right before each order.
 
         Raises
@@ -112,7 +112,7 @@
             ``lease_lost``: the process was paused, or the store could
             not be reached for too long, and another may hold it now.
         """
-        lease = self.held(now_s)
+        lease = self.current_lease(now_s)
         if lease is None:
             _count("lost_before_order")
             raise errors.RudderError(
--- a/toucanrudder/leases/tests/test_leases.py
+++ b/toucanrudder/leases/tests/test_leases.py
@@ -47,7 +47,7 @@
         )
 
     def held(self):
-        return self.holder.held(self.clock())
+        return self.holder.current_lease(self.clock())
 
     async def reconcile(self):
         with contextlib.suppress(
@@ -136,14 +136,14 @@
     store, true = memory.MemoryObjectStore(), [0.0]
     one, two = (Contender(store, true, name) for name in "ab")
     await one.reconcile()
-    first = one.holder.check(true[0])
+    first = one.holder.require_lease(true[0])
     await two.reconcile()
     true[0] += ENOUGH_S
     await two.reconcile()
-    second = two.holder.check(true[0])
+    second = two.holder.require_lease(true[0])
     assert second.fencing > first.fencing
     with pytest.raises(errors.RudderError) as caught:
-        one.holder.check(true[0])
+        one.holder.require_lease(true[0])
     assert caught.value.code is errors.Code.LEASE_LOST
     await one.reconcile()
     assert two.held()
@@ -419,9 +419,9 @@
         for each in contenders:
             running.append(asyncio.ensure_future(each.run()))
             await asyncio.sleep(1.0)
-        before = [each.held(clock.now_s()) for each in contenders]
+        before = [each.current_lease(clock.now_s()) for each in contenders]
         await asyncio.sleep(deaf_from_s + ENOUGH_S)
-        after = [each.held(clock.now_s()) for each in contenders]
+        after = [each.current_lease(clock.now_s()) for each in contenders]
         for each in running:
             each.cancel()
         return [[lease is not None for lease in at] for at in (before, after)]
--- a/toucanrudder/leases/tests/test_restored_stores.py
+++ b/toucanrudder/leases/tests/test_restored_stores.py
@@ -83,7 +83,7 @@
             held = {
                 name: lease.fencing
                 for name, each in self.holders.items()
-                if (lease := each.held(self.now_s()))
+                if (lease := each.current_lease(self.now_s()))
             }
             if len(held) > 1:
                 broken.add("two hold it")
