--- a/toucanrudder/leases/decision.py
+++ b/toucanrudder/leases/decision.py
@@ -138,12 +138,12 @@
     since_s: float
 
 
-def least_fencing(era: int) -> int:
+def min_fencing(era: int) -> int:
     """Return a fencing number above all that earlier eras have given out.
 
     Examples
     --------
-    >>> least_fencing(0), least_fencing(2) > least_fencing(1) + 1_000_000
+    >>> min_fencing(0), min_fencing(2) > min_fencing(1) + 1_000_000
     (0, True)
     """
     return era * FENCING_PER_ERA
--- a/toucanrudder/leases/holder.py
+++ b/toucanrudder/leases/holder.py
@@ -261,7 +261,7 @@
         if not is_renewal or floor > fencing:
             # Above the floor too: the store may have come back older,
             # and engines that check would refuse a number they are past.
-            least = decision.least_fencing(self._era)
+            least = decision.min_fencing(self._era)
             fencing = max(fencing, floor, least) + 1
         return decision.Record(self.holder_id, fencing, uuid.uuid4().hex)
 
--- a/toucanrudder/platform/tests/test_platform.py
+++ b/toucanrudder/platform/tests/test_platform.py
@@ -1097,7 +1097,7 @@
     site.store.put("versions", "m", {"model": "m", "version": 4})
     await until(lambda: all(each.version == 4 for each in engines))
     fences = {each.orders[0]["fence"] for each in engines}
-    assert fences == {decision.least_fencing(site.store.era) + 1}
+    assert fences == {decision.min_fencing(site.store.era) + 1}
     assert all(len(each.orders) == 1 for each in engines)
     answer = await asked(router, b"/s/x")
     assert answer.body == EVENTS
