--- a/toucanrudder/leases/tests/test_leases.py
+++ b/toucanrudder/leases/tests/test_leases.py
@@ -235,7 +235,7 @@
     ),
     "an order got lost": (
         [_engine(n, **OLD) for n in "abcd"],
-        {"ordered_s": {"a": 100 - weights.PATIENCE_S}},
+        {"ordered_s": {"a": 100 - weights.ORDER_PENDING_S}},
         [("a", "m"), ("b", "m")],
     ),
     "an ordered one is done": (
--- a/toucanrudder/leases/weights.py
+++ b/toucanrudder/leases/weights.py
@@ -9,7 +9,7 @@
 
 #: Time for which an order counts as under way although the engine's
 #: report does not show it yet.
-PATIENCE_S = 15.0
+ORDER_PENDING_S = 15.0
 
 LOADING = "loading"
 LIVE = "live"
@@ -98,7 +98,7 @@
     recent = {
         each.name
         for each in engines
-        if now_s - ordered_s.get(each.name, float("-inf")) < PATIENCE_S
+        if now_s - ordered_s.get(each.name, float("-inf")) < ORDER_PENDING_S
         and _is_open(each, document, reports)
     }
     loading = recent | {
