--- a/toucanrudder/claims/keeper.py
+++ b/toucanrudder/claims/keeper.py
@@ -81,7 +81,7 @@
             )
         self.dispatched = True
 
-    def proved_not_run(self) -> None:
+    def mark_not_dispatched(self) -> None:
         """Note proof that the last dispatch reached no upstream."""
         self.dispatched = False
 
--- a/toucanrudder/claims/tests/test_at_most_once.py
+++ b/toucanrudder/claims/tests/test_at_most_once.py
@@ -259,7 +259,7 @@
             self.held.remove(entry)
             return
         if end.startswith("not sent"):
-            claim.proved_not_run()
+            claim.mark_not_dispatched()
             if end == "not sent":
                 # The claim stays in `held`: a faulty caller that tries to
                 # dispatch it again must be stopped by the claim itself.
--- a/toucanrudder/claims/tests/test_keeper.py
+++ b/toucanrudder/claims/tests/test_keeper.py
@@ -186,7 +186,7 @@
 async def test_a_released_claim_goes_to_one_taker_and_is_dead_here(objects):
     first = await router(objects).acquire("acme", "k", BODY, 0.0)
     first.check(0.0)
-    first.proved_not_run()
+    first.mark_not_dispatched()
     await first.release()
     takers = await asyncio.gather(
         *(
--- a/toucanrudder/filters/service.py
+++ b/toucanrudder/filters/service.py
@@ -293,7 +293,7 @@
             )
         except failures.UpstreamFailure as failure:
             if failure.kind in failures.PROVES_NOT_RUN:
-                claim.proved_not_run()
+                claim.mark_not_dispatched()
             raise
         read = await deduplicate.read_answer(answer, upstream.name)
         read.resources = stack.pop_all()
