--- a/toucanrudder/claims/reaper.py
+++ b/toucanrudder/claims/reaper.py
@@ -93,7 +93,7 @@
         Where the claims live.
     retention_s : callable
         Returns the configured retention, seconds.
-    is_turn : callable
+    is_elected : callable
         Whether this router is the one to reap; the live router with the
         least name is enough.
     timeout_s : float
@@ -106,14 +106,14 @@
         self,
         objects: store.ObjectStore,
         retention_s: Callable[[], float],
-        is_turn: Callable[[], bool],
+        is_elected: Callable[[], bool],
         *,
         timeout_s: float = 1.0,
         rng: random.Random | None = None,
     ):
         self._objects = objects
         self._retention_s = retention_s
-        self._is_turn = is_turn
+        self._is_elected = is_elected
         self._timeout_s = timeout_s
         self._rng = rng or random.Random()
         self._seen: dict[str, Sighting] = {}
@@ -122,7 +122,7 @@
         """Make a pass now and then, for ever."""
         while True:
             await asyncio.sleep(PASS_S * self._rng.uniform(0.5, 1.5))
-            if not self._is_turn():
+            if not self._is_elected():
                 self._seen.clear()
                 continue
             try:
@@ -211,10 +211,10 @@
         return 1
 
 
-def sole_reaper(
+def least_name_election(
     name: str, live: Callable[[], Sequence[str]]
 ) -> Callable[[], bool]:
-    """Return an `is_turn` by which the least live name reaps.
+    """Return an `is_elected` by which the least live name reaps.
 
     Parameters
     ----------
@@ -230,7 +230,7 @@
 
     Examples
     --------
-    >>> sole_reaper("r1", lambda: ["r2", "r1"])()
+    >>> least_name_election("r1", lambda: ["r2", "r1"])()
     True
     """
     return lambda: name == min([*live(), name])
--- a/toucanrudder/router/assembly.py
+++ b/toucanrudder/router/assembly.py
@@ -341,7 +341,7 @@
     return reaper.Reaper(
         state.objects,
         retention_s,
-        reaper.sole_reaper(state.conf.router.name, live),
+        reaper.least_name_election(state.conf.router.name, live),
         timeout_s=state.conf.store.timeout_s,
         rng=state.rng,
     )
