--- a/toucanrudder/admin/stored.py
+++ b/toucanrudder/admin/stored.py
@@ -82,7 +82,10 @@
         except (ValueError, KeyError, TypeError):
             continue
         age_s = now_unix_s - held.created_unix_s
-        if held.state is record.State.STARTED and age_s >= limits.running_s:
+        if (
+            held.state is record.State.STARTED
+            and age_s >= limits.reported_running_s
+        ):
             organisation, _, digest = found.name.rpartition(".")
             claims.append(
                 status.ClaimStatus(organisation, digest, held.router, age_s)
--- a/toucanrudder/claims/decision.py
+++ b/toucanrudder/claims/decision.py
@@ -53,7 +53,7 @@
     ----------
     dispatch_within_s : float
         Age by which the holder must have dispatched, or never does.
-    running_s : float
+    reported_running_s : float
         Age up to which a started request is reported as running; past it,
         as of unknown outcome.
     retry_after_s : float
@@ -61,7 +61,7 @@
     """
 
     dispatch_within_s: float = 10.0
-    running_s: float = 60.0
+    reported_running_s: float = 60.0
     retry_after_s: float = 2.0
 
 
@@ -113,7 +113,7 @@
         return _done(held)
     if held.state is record.State.NOT_RUN or held.attempt in never_dispatched:
         return TakeOver(found.version)
-    if now_unix_s - held.created_unix_s < limits.running_s:
+    if now_unix_s - held.created_unix_s < limits.reported_running_s:
         return Refuse(
             codes.Code.ALREADY_STARTED,
             "the request was started by an earlier try",
