--- a/toucanrudder/leases/holder.py
+++ b/toucanrudder/leases/holder.py
@@ -307,7 +307,7 @@
         record = typed.read(
             decision.Record, found.value, f"{found.kind}/{found.name}"
         )
-    except interface.StrangeObject as error:
+    except interface.MalformedObject as error:
         strange.note(error)
         record = _unreadable(before, found.version)
     position = feed.Position(era, found.version)
--- a/toucanrudder/platform/objects.py
+++ b/toucanrudder/platform/objects.py
@@ -26,13 +26,13 @@
 
     Raises
     ------
-    StrangeObject
+    MalformedObject
         They hold none.
     """
     try:
         value = orjson.loads(source)
     except ValueError as error:
-        raise interface.StrangeObject("peer", "unreadable bytes") from error
+        raise interface.MalformedObject("peer", "unreadable bytes") from error
     return model.Document(configuration(value, "peer"), source)
 
 
@@ -46,7 +46,7 @@
 
     Raises
     ------
-    StrangeObject
+    MalformedObject
         The object holds no configuration.
     """
     if stored.name != CONFIGURATION_NAME:
@@ -66,7 +66,7 @@
 
     Raises
     ------
-    StrangeObject
+    MalformedObject
         The value holds none.
     """
     found = typed.read(records.Configuration, value, source)
@@ -120,7 +120,7 @@
 
     Raises
     ------
-    StrangeObject
+    MalformedObject
         The entry names no upstream to use.
     """
     entry = typed.read(records.Entry, stored.value, _source(stored))
@@ -158,7 +158,7 @@
 
     Raises
     ------
-    StrangeObject
+    MalformedObject
         The object names none.
     """
     found = typed.read(records.Weights, stored.value, _source(stored))
--- a/toucanrudder/platform/store.py
+++ b/toucanrudder/platform/store.py
@@ -126,6 +126,6 @@
         answer = await self.calls.write(method, path, body, timeout_s)
         try:
             item = typed.read(records.Item, answer.body, path)
-        except interface.StrangeObject as error:
+        except interface.MalformedObject as error:
             raise interface.OutcomeUnknown(str(error)) from error
         return item.metadata.revision
--- a/toucanrudder/platform/tests/test_records.py
+++ b/toucanrudder/platform/tests/test_records.py
@@ -177,14 +177,14 @@
     "change", STRANGE_ENTRIES.values(), ids=STRANGE_ENTRIES.keys()
 )
 def test_a_strange_entry_names_no_upstream(change):
-    with pytest.raises(interface.StrangeObject):
+    with pytest.raises(interface.MalformedObject):
         read_upstream(ENTRY | change)
 
 
 @pytest.mark.parametrize("value", [None, "text", [], 7, {}, [ENTRY]])
 @pytest.mark.parametrize("read", [each for each, _ in READERS.values()])
 def test_what_is_no_record_is_refused(read, value):
-    with pytest.raises(interface.StrangeObject):
+    with pytest.raises(interface.MalformedObject):
         read(value)
 
 
@@ -268,7 +268,7 @@
     )
     try:
         found = read(value)
-    except interface.StrangeObject:
+    except interface.MalformedObject:
         return
     if attrs.has(type(found)):
         check_types(found)
@@ -293,5 +293,5 @@
 
 def test_a_peers_unreadable_document_is_refused():
     for content in (b"", b"\xff", b"[]", b'{"version": "7"}'):
-        with pytest.raises(interface.StrangeObject):
+        with pytest.raises(interface.MalformedObject):
             objects.decode(content)
--- a/toucanrudder/store/eras.py
+++ b/toucanrudder/store/eras.py
@@ -30,7 +30,7 @@
     >>> guard.check(b"3")
     Traceback (most recent call last):
     ...
-    toucanrudder.store.interface.StrangeObject: 10.0.0.1:1: era 3 after 4
+    toucanrudder.store.interface.MalformedObject: 10.0.0.1:1: era 3 after 4
     """
 
     source: str
@@ -41,7 +41,7 @@
 
         Raises
         ------
-        StrangeObject
+        MalformedObject
             It is no number, is missing, or was superseded.
         """
         era = self._read(said)
@@ -70,5 +70,5 @@
         ).add(1)
         decisions.record(decisions.StoreRestored(era=era, previous=before))
 
-    def _strange(self, reason: str) -> interface.StrangeObject:
-        return interface.StrangeObject(self.source, reason)
+    def _strange(self, reason: str) -> interface.MalformedObject:
+        return interface.MalformedObject(self.source, reason)
--- a/toucanrudder/store/interface.py
+++ b/toucanrudder/store/interface.py
@@ -18,7 +18,7 @@
     value: object
 
 
-class StrangeObject(Exception):
+class MalformedObject(Exception):
     """An object, or a word of an upstream, is not what it should be.
 
     Parameters
--- a/toucanrudder/store/rest.py
+++ b/toucanrudder/store/rest.py
@@ -55,7 +55,7 @@
     """
     try:
         return typed.read(made, answer.body, "store")
-    except interface.StrangeObject as error:
+    except interface.MalformedObject as error:
         raise interface.StoreUnavailable(str(error)) from error
 
 
@@ -94,7 +94,7 @@
             answer = await self._exchange(b"GET", path, None, timeout_s)
         except _NO_ANSWER as error:
             raise interface.StoreUnavailable(str(error)) from error
-        except interface.StrangeObject as error:
+        except interface.MalformedObject as error:
             strange.note(error)
             raise interface.StoreUnavailable(str(error)) from error
         if answer.status not in (200, 404, 410):
@@ -119,7 +119,7 @@
             raise interface.OutcomeUnknown(str(error)) from error
         except (TimeoutError, calls.Unreadable) as error:
             raise interface.OutcomeUnknown(str(error)) from error
-        except interface.StrangeObject as error:
+        except interface.MalformedObject as error:
             strange.note(error)
             raise interface.OutcomeUnknown(str(error)) from error
         if answer.status in _REFUSED:
--- a/toucanrudder/store/strange.py
+++ b/toucanrudder/store/strange.py
@@ -21,7 +21,7 @@
 Read = typing.TypeVar("Read")
 
 
-def note(error: interface.StrangeObject) -> None:
+def note(error: interface.MalformedObject) -> None:
     """Count what could not be read; log it if that is news."""
     kind = error.source.partition("/")[0]
     metrics.counter(
@@ -37,7 +37,7 @@
     """Return what is read of it; None, and a log line, if it is strange."""
     try:
         return decode(*given)
-    except interface.StrangeObject as error:
+    except interface.MalformedObject as error:
         note(error)
         return None
 
--- a/toucanrudder/store/tests/test_eras.py
+++ b/toucanrudder/store/tests/test_eras.py
@@ -28,6 +28,6 @@
 def test_a_strange_or_superseded_era_changes_nothing(said):
     # A late answer from before a restoration would bring lost objects back.
     guard = eras.EraGuard("store", newest=3)
-    with pytest.raises(interface.StrangeObject):
+    with pytest.raises(interface.MalformedObject):
         guard.check(said)
     assert guard.newest == 3
--- a/toucanrudder/store/typed.py
+++ b/toucanrudder/store/typed.py
@@ -127,7 +127,7 @@
 
     Raises
     ------
-    StrangeObject
+    MalformedObject
         The value holds no such record.
 
     Examples
@@ -139,18 +139,18 @@
     3
     >>> try:
     ...     read(Weights, {"version": "3"}, "store")
-    ... except interface.StrangeObject as error:
+    ... except interface.MalformedObject as error:
     ...     error.reason
     "Weights cannot be read: ValueError('not a whole number')"
     """
     try:
         return _converter().structure(value, made)
-    except interface.StrangeObject:
+    except interface.MalformedObject:
         raise
     # Whatever a record of unknown origin makes the checks fail with.
     except Exception as error:
         reason = f"{made.__name__} cannot be read: {error!r}"
-        raise interface.StrangeObject(source, reason) from error
+        raise interface.MalformedObject(source, reason) from error
 
 
 def checked(is_good: Callable[[typing.Any], bool], says: str) -> Callable:
