--- a/toucanrudder/forwarding/following.py
+++ b/toucanrudder/forwarding/following.py
@@ -349,7 +349,7 @@
 
     def _documents(self, objects, now_s: float) -> None:
         for stored in objects:
-            document = strange.read_or_none(self._kinds.document, stored)
+            document = strange.decode_or_none(self._kinds.document, stored)
             if document is not None:
                 self._offer(document, "store")
 
@@ -370,7 +370,7 @@
     def _read_upstream(
         self, stored: interface.StoredObject
     ) -> model.Upstream | None:
-        return strange.read_or_none(self._kinds.upstream, stored)
+        return strange.decode_or_none(self._kinds.upstream, stored)
 
     def _upstream(self, change: feed.Change, now_s: float) -> None:
         registry = self._state.registry
@@ -417,7 +417,7 @@
     def _weights(self, objects, now_s: float) -> None:
         self._has_weights = True
         for stored in objects:
-            named = strange.read_or_none(self._kinds.named_weights, stored)
+            named = strange.decode_or_none(self._kinds.named_weights, stored)
             if named and self._state.weights_named(*named, now_s):
                 # Routers that do not follow the weights hear it from us.
                 self._peering.client.hasten()
--- a/toucanrudder/leases/holder.py
+++ b/toucanrudder/leases/holder.py
@@ -308,7 +308,7 @@
             decision.Record, found.value, f"{found.kind}/{found.name}"
         )
     except interface.MalformedObject as error:
-        strange.note(error)
+        strange.log_malformed(error)
         record = _unreadable(before, found.version)
     position = feed.Position(era, found.version)
     return decision.observe(before, position, record, now_s)
--- a/toucanrudder/platform/orders.py
+++ b/toucanrudder/platform/orders.py
@@ -157,7 +157,9 @@
 ) -> typed.Made | None:
     if answer is None or answer.status != 200:
         return None
-    return strange.read_or_none(typed.read, made, answer.body, source.address)
+    return strange.decode_or_none(
+        typed.read, made, answer.body, source.address
+    )
 
 
 @functools.singledispatch
--- a/toucanrudder/platform/store.py
+++ b/toucanrudder/platform/store.py
@@ -94,7 +94,7 @@
         while True:
             answer = await self.calls.read(path, timeout_s)
             page = rest.said(records.Page, answer)
-            found += strange.readable(stored, page.items)
+            found += strange.decode_valid(stored, page.items)
             # Changes after the first page are watched for from there on.
             position = position or feed.Position(answer.era, page.current_rev)
             if answer.era != position.era:
@@ -116,7 +116,7 @@
             raise feed.HistoryGone(kind)
         news = rest.said(records.News, answer)
         changed = functools.partial(_change, kind)
-        changes = strange.readable(changed, news.events)
+        changes = strange.decode_valid(changed, news.events)
         here = feed.Position(answer.era, news.current_rev)
         return feed.Changes(tuple(changes), here)
 
--- a/toucanrudder/platform/tests/test_records.py
+++ b/toucanrudder/platform/tests/test_records.py
@@ -191,7 +191,7 @@
 def test_a_strange_object_is_logged_once(caplog):
     for _ in range(3):
         entry = stored("servers", "once", ENTRY | {"slots": "many"})
-        assert strange.read_or_none(objects.upstream, entry) is None
+        assert strange.decode_or_none(objects.upstream, entry) is None
     found = [each for each in caplog.records if each.name == strange.__name__]
     assert len(found) == 1
 
--- a/toucanrudder/store/rest.py
+++ b/toucanrudder/store/rest.py
@@ -95,7 +95,7 @@
         except _NO_ANSWER as error:
             raise interface.StoreUnavailable(str(error)) from error
         except interface.MalformedObject as error:
-            strange.note(error)
+            strange.log_malformed(error)
             raise interface.StoreUnavailable(str(error)) from error
         if answer.status not in (200, 404, 410):
             raise interface.StoreUnavailable(f"status {answer.status}")
@@ -120,7 +120,7 @@
         except (TimeoutError, calls.Unreadable) as error:
             raise interface.OutcomeUnknown(str(error)) from error
         except interface.MalformedObject as error:
-            strange.note(error)
+            strange.log_malformed(error)
             raise interface.OutcomeUnknown(str(error)) from error
         if answer.status in _REFUSED:
             raise interface.StoreUnavailable(f"status {answer.status}")
--- a/toucanrudder/store/strange.py
+++ b/toucanrudder/store/strange.py
@@ -21,7 +21,7 @@
 Read = typing.TypeVar("Read")
 
 
-def note(error: interface.MalformedObject) -> None:
+def log_malformed(error: interface.MalformedObject) -> None:
     """Count what could not be read; log it if that is news."""
     kind = error.source.partition("/")[0]
     metrics.counter(
@@ -33,18 +33,18 @@
         LOG.warning("left out: %s", error.reason, extra={"peer": error.source})
 
 
-def read_or_none(decode: Callable[..., Read], *given: object) -> Read | None:
+def decode_or_none(decode: Callable[..., Read], *given: object) -> Read | None:
     """Return what is read of it; None, and a log line, if it is strange."""
     try:
         return decode(*given)
     except interface.MalformedObject as error:
-        note(error)
+        log_malformed(error)
         return None
 
 
-def readable(
+def decode_valid(
     decode: Callable[[object], Read], items: Iterable[object]
 ) -> list[Read]:
     """Return what is read of those items that are not strange."""
-    found = (read_or_none(decode, each) for each in items)
+    found = (decode_or_none(decode, each) for each in items)
     return [each for each in found if each is not None]
