--- a/toucanrudder/platform/records.py
+++ b/toucanrudder/platform/records.py
@@ -53,7 +53,7 @@
 class Weights:
     """Weights of a model: named for all, or present at one upstream."""
 
-    model: str = attrs.field(validator=typed.WORD)
+    model: str = attrs.field(validator=typed.HEADER_VALUE)
     version: int = attrs.field(validator=typed.POSITIVE)
 
 
@@ -61,7 +61,7 @@
 class LoadedModel:
     """A model, and its weights, as one upstream has them."""
 
-    name: str = attrs.field(validator=typed.WORD)
+    name: str = attrs.field(validator=typed.HEADER_VALUE)
     version: int = attrs.field(validator=typed.POSITIVE)
 
 
@@ -69,7 +69,7 @@
 class Entry:
     """What an upstream writes of itself into the registry."""
 
-    service: str = attrs.field(validator=typed.WORD)
+    service: str = attrs.field(validator=typed.HEADER_VALUE)
     address: str = attrs.field(validator=typed.ADDRESS)
     state: str = attrs.field(
         validator=attrs.validators.in_(("ready", "draining"))
@@ -107,7 +107,7 @@
     boot_epoch: int
     next: int = attrs.field(validator=typed.NOT_NEGATIVE)
     events: list[typing.Any] = attrs.field(
-        validator=typed.rows(int, str, str, str, int, str)
+        validator=typed.rows_of(int, str, str, str, int, str)
     )
     born: int = attrs.field(default=0, validator=typed.NOT_NEGATIVE)
 
@@ -116,19 +116,21 @@
 _MBPS = 1e6
 
 # Of these, only names and units differ from ours.
-typed.spell(
+typed.set_wire_fields(
     model.Engine,
-    cache_tokens=typed.spelled("kv_capacity_tokens"),
-    takes_copies=typed.spelled("backups"),
-    token_bytes=typed.spelled("kv_token_bytes"),
-    link_bits_per_s=typed.spelled("link_mbps", _MBPS),
+    cache_tokens=typed.wire_field("kv_capacity_tokens"),
+    takes_copies=typed.wire_field("backups"),
+    token_bytes=typed.wire_field("kv_token_bytes"),
+    link_bits_per_s=typed.wire_field("link_mbps", _MBPS),
 )
-typed.spell(model.Organisation, is_isolated=typed.spelled("isolated"))
-typed.spell(
+typed.set_wire_fields(
+    model.Organisation, is_isolated=typed.wire_field("isolated")
+)
+typed.set_wire_fields(
     model.CallerLimits,
-    max_head_bytes=typed.spelled("max_header_bytes"),
-    head_timeout_s=typed.spelled("header_timeout_ms", _MS),
-    idle_timeout_s=typed.spelled("idle_timeout_ms", _MS),
+    max_head_bytes=typed.wire_field("max_header_bytes"),
+    head_timeout_s=typed.wire_field("header_timeout_ms", _MS),
+    idle_timeout_s=typed.wire_field("idle_timeout_ms", _MS),
 )
 
 
@@ -145,7 +147,9 @@
     link_bits_per_s: float = 0.0
 
 
-typed.spell(Service, link_bits_per_s=typed.spelled("link_mbps", _MBPS))
+typed.set_wire_fields(
+    Service, link_bits_per_s=typed.wire_field("link_mbps", _MBPS)
+)
 
 
 @attrs.frozen
--- a/toucanrudder/store/typed.py
+++ b/toucanrudder/store/typed.py
@@ -68,15 +68,15 @@
 
 #: Fields that are called otherwise on the wire, by class; a pair's second
 #: half turns their value into ours.
-_SPELLED: dict[type, dict[str, gen.AttributeOverride]] = {}
+_WIRE_FIELDS: dict[type, dict[str, gen.AttributeOverride]] = {}
 
 
-def spell(made: type, **fields: gen.AttributeOverride) -> None:
+def set_wire_fields(made: type, **fields: gen.AttributeOverride) -> None:
     """Say how a class's fields are spelled; call it before `read`."""
-    _SPELLED[made] = fields
+    _WIRE_FIELDS[made] = fields
 
 
-def spelled(
+def wire_field(
     wire_name: str, factor: float | None = None
 ) -> gen.AttributeOverride:
     """Return how one field is spelled.
@@ -102,7 +102,7 @@
     Where all fields have defaults, a text or a list would pass for one.
     """
     make = gen.make_dict_structure_fn(
-        made, converter, **_SPELLED.get(made, {})
+        made, converter, **_WIRE_FIELDS.get(made, {})
     )
 
     def structure(value: object, _: type) -> object:
@@ -153,7 +153,7 @@
         raise interface.MalformedObject(source, reason) from error
 
 
-def checked(is_good: Callable[[typing.Any], bool], says: str) -> Callable:
+def validator(is_good: Callable[[typing.Any], bool], says: str) -> Callable:
     """Return a validator of a field that says what is wrong with it."""
 
     def check(instance, attribute, value) -> None:
@@ -163,7 +163,7 @@
     return check
 
 
-def rows(*types: type) -> Callable:
+def rows_of(*types: type) -> Callable:
     """Return a validator of a list of lists, by the types in each.
 
     Where thousands come at once, a record of each takes ten times as long.
@@ -191,9 +191,9 @@
 
 
 #: ``IP:port``, or None.
-ADDRESS = attrs.validators.optional(checked(_is_address, "no IP:port"))
+ADDRESS = attrs.validators.optional(validator(_is_address, "no IP:port"))
 #: What may stand in a header.
-WORD = checked(_is_word, "not a word")
+HEADER_VALUE = validator(_is_word, "not a word")
 POSITIVE = attrs.validators.gt(0)
 #: How many things one process has: more than a hundred times what the
 #: largest engines run at once.
