--- a/toucanrudder/platform/store.py
+++ b/toucanrudder/platform/store.py
@@ -52,7 +52,7 @@
         answer = await self.calls.read(f"/objects/{kind}/{name}", timeout_s)
         if answer.status == 404:
             return None
-        return _stored(kind, rest.said(records.Item, answer))
+        return _stored(kind, rest.parse_record(records.Item, answer))
 
     async def create(
         self, kind: str, name: str, value: dict, *, timeout_s: float
@@ -93,7 +93,7 @@
         stored = functools.partial(_object, kind)
         while True:
             answer = await self.calls.read(path, timeout_s)
-            page = rest.said(records.Page, answer)
+            page = rest.parse_record(records.Page, answer)
             found += strange.decode_valid(stored, page.items)
             # Changes after the first page are watched for from there on.
             position = position or feed.Position(answer.era, page.current_rev)
@@ -114,7 +114,7 @@
         answer = await self.calls.read(path, wait_s + WATCH_MARGIN_S)
         if answer.status == 410 or answer.era != position.era:
             raise feed.HistoryGone(kind)
-        news = rest.said(records.News, answer)
+        news = rest.parse_record(records.News, answer)
         changed = functools.partial(_change, kind)
         changes = strange.decode_valid(changed, news.events)
         here = feed.Position(answer.era, news.current_rev)
--- a/toucanrudder/store/rest.py
+++ b/toucanrudder/store/rest.py
@@ -45,7 +45,7 @@
     era: int = 0
 
 
-def said(made: type[typed.Made], answer: Answer) -> typed.Made:
+def parse_record(made: type[typed.Made], answer: Answer) -> typed.Made:
     """Return the record in the answer to a read.
 
     Raises
