--- a/toucanrudder/forwarding/registry.py
+++ b/toucanrudder/forwarding/registry.py
@@ -71,7 +71,7 @@
 
     def was_served(self, span: continuity.Span) -> None:
         """Note a time in which the registry served some router."""
-        self.served = span.joined(self.served)
+        self.served = span.merged(self.served)
 
     @property
     def _lenient_until_s(self) -> float:
--- a/toucanrudder/store/continuity.py
+++ b/toucanrudder/store/continuity.py
@@ -28,14 +28,14 @@
     since_s: float
     until_s: float
 
-    def joined(self, other: "Span | None") -> "Span":
+    def merged(self, other: "Span | None") -> "Span":
         """Return both as one, or the later of them if a long gap is between.
 
         Examples
         --------
-        >>> Span(1.0, 5.0).joined(Span(6.0, 7.0))
+        >>> Span(1.0, 5.0).merged(Span(6.0, 7.0))
         Span(since_s=1.0, until_s=7.0)
-        >>> Span(9.0, 9.5).joined(Span(1.0, 5.0))
+        >>> Span(9.0, 9.5).merged(Span(1.0, 5.0))
         Span(since_s=9.0, until_s=9.5)
         """
         if other is None:
