--- a/toucanrudder/forwarding/following.py
+++ b/toucanrudder/forwarding/following.py
@@ -227,7 +227,7 @@
         kind: str,
         position: feed.Position,
         wait_s: float,
-    ) -> fanout.Told | None:
+    ) -> fanout.ReaderReply | None:
         return await self._peering.client.changes(
             reader.address,
             kind,
--- a/toucanrudder/peers/changes.py
+++ b/toucanrudder/peers/changes.py
@@ -8,7 +8,7 @@
 from toucanrudder.store import interface
 
 
-def to_wire(told: fanout.Told) -> peers_pb2.ChangesReply:
+def to_wire(told: fanout.ReaderReply) -> peers_pb2.ChangesReply:
     """Return what is told as a protobuf message."""
     if told.changes is None:
         return peers_pb2.ChangesReply(age_s=told.age_s)
@@ -29,7 +29,9 @@
     )
 
 
-def from_wire(kind: str, message: peers_pb2.ChangesReply) -> fanout.Told:
+def from_wire(
+    kind: str, message: peers_pb2.ChangesReply
+) -> fanout.ReaderReply:
     """Return what is told in a protobuf message.
 
     Raises
@@ -38,7 +40,7 @@
         An object cannot be read.
     """
     if not message.is_known:
-        return fanout.Told(None, message.age_s)
+        return fanout.ReaderReply(None, message.age_s)
     changes = tuple(
         feed.Change(
             interface.StoredObject(
@@ -49,4 +51,4 @@
         for each in message.changes
     )
     position = feed.Position(message.era, message.revision)
-    return fanout.Told(feed.Changes(changes, position), message.age_s)
+    return fanout.ReaderReply(feed.Changes(changes, position), message.age_s)
--- a/toucanrudder/peers/client.py
+++ b/toucanrudder/peers/client.py
@@ -252,12 +252,12 @@
         *,
         wait_s: float,
         deadline_s: float,
-    ) -> fanout.Told | None:
+    ) -> fanout.ReaderReply | None:
         """Ask a peer what it has read from the store after a position.
 
         Returns
         -------
-        fanout.Told or None
+        fanout.ReaderReply or None
             None if no answer came in time.
         """
         request = peers_pb2.ChangesRequest(
--- a/toucanrudder/peers/server.py
+++ b/toucanrudder/peers/server.py
@@ -144,11 +144,11 @@
         await self._authenticate(context)
         log = self._logs.get(request.kind)
         if log is None:
-            return changes.to_wire(fanout.Told(None, float("inf")))
+            return changes.to_wire(fanout.ReaderReply(None, float("inf")))
         position = feed.Position(request.era, request.revision)
         await log.wait(position, min(request.wait_s, MAX_WAIT_S))
         return changes.to_wire(
-            fanout.Told(log.since(position), log.age_s(clock.now_s()))
+            fanout.ReaderReply(log.since(position), log.age_s(clock.now_s()))
         )
 
     async def _authenticate(self, context) -> None:
--- a/toucanrudder/peers/tests/test_questions.py
+++ b/toucanrudder/peers/tests/test_questions.py
@@ -96,7 +96,7 @@
         await fleet.logs[0].is_asked.wait()
         await close(fleet, first, second)
         ended = await asyncio.gather(waiting, return_exceptions=True)
-    assert ended == [fanout.Told(feed.Changes((), POSITION), mock.ANY)]
+    assert ended == [fanout.ReaderReply(feed.Changes((), POSITION), mock.ANY)]
 
 
 async def test_a_task_goes_on_after_a_call_that_was_cancelled(monkeypatch):
--- a/toucanrudder/store/fanout.py
+++ b/toucanrudder/store/fanout.py
@@ -61,7 +61,7 @@
 
 
 @attrs.frozen
-class Told:
+class ReaderReply:
     """What a reader tells of a kind.
 
     Parameters
@@ -219,7 +219,7 @@
         has_followers: Callable[[], bool],
         choose: Callable[[set[str]], Reader | None],
         ask: Callable[
-            [Reader, str, feed.Position, float], Awaitable[Told | None]
+            [Reader, str, feed.Position, float], Awaitable[ReaderReply | None]
         ],
         clock: Callable[[], float],
         is_settled: Callable[[], bool] = lambda: True,
--- a/toucanrudder/store/tests/test_fanout.py
+++ b/toucanrudder/store/tests/test_fanout.py
@@ -74,14 +74,14 @@
         return await self.feed.changes(KIND, at(revision), wait_s=5.0)
 
 
-GOOD = fanout.Told(changes(12, "i1"), 0.4)
-IDLE = fanout.Told(changes(10), 0.9)
+GOOD = fanout.ReaderReply(changes(12, "i1"), 0.4)
+IDLE = fanout.ReaderReply(changes(10), 0.9)
 BAD = {
     "no answer": None,
-    "too long away from the store": fanout.Told(
+    "too long away from the store": fanout.ReaderReply(
         changes(12, "i1"), fanout.MAX_AGE_S + 0.1
     ),
-    "does not know that far back": fanout.Told(None, 0.1),
+    "does not know that far back": fanout.ReaderReply(None, 0.1),
 }
 
 
--- a/toucanrudder/store/tests/test_fanout_days.py
+++ b/toucanrudder/store/tests/test_fanout_days.py
@@ -158,7 +158,9 @@
             await asyncio.sleep(fanout.ASK_DEADLINE_S)
             return None
         await log.wait(position, wait_s)
-        return fanout.Told(log.since(position), log.age_s(clock.now_s()))
+        return fanout.ReaderReply(
+            log.since(position), log.age_s(clock.now_s())
+        )
 
 
 class Day:
