--- a/toucanrudder/forwarding/following.py
+++ b/toucanrudder/forwarding/following.py
@@ -194,9 +194,9 @@
 
     def _is_reader(self) -> bool:
         names = self.live_names()
-        if not fanout.is_fanned_out(len(names)):
+        if not fanout.uses_fanout(len(names)):
             return True
-        is_reader = self._state.name in fanout.readers(names)
+        is_reader = self._state.name in fanout.select_readers(names)
         return self._note_duty("registry", is_reader)
 
     def _upstreams_wait_s(self) -> float:
@@ -205,16 +205,16 @@
         A few routers ask often enough to show that the registry serves
         calls.
         """
-        names = fanout.readers(self.live_names())
+        names = fanout.select_readers(self.live_names())
         waits_s = dict(zip(names, continuity.WATCH_WAITS_S, strict=False))
         return min(self._wait_s, waits_s.get(self._state.name, self._wait_s))
 
     def _has_followers(self) -> bool:
-        return fanout.is_fanned_out(len(self.live_names()))
+        return fanout.uses_fanout(len(self.live_names()))
 
     def _choose_reader(self, shunned: set[str]) -> fanout.Reader | None:
         live = {each.name: each.address for each in self._live()}
-        readers = fanout.readers(self.live_names())
+        readers = fanout.select_readers(self.live_names())
         key = self._state.name.encode()[:64]
         for name in rendezvous.ranked(key, readers):
             if name in live and name not in shunned:
@@ -270,7 +270,7 @@
     def controllers(self) -> list[feeds.FeedController]:
         """Return the tasks that follow each kind."""
         kinds, wait_s = self._kinds, self._wait_s
-        upstreams = fanout.FannedFeed(
+        upstreams = fanout.FanoutFeed(
             self._store,
             self._upstream_log,
             is_reader=self._is_reader,
--- a/toucanrudder/platform/tests/test_platform.py
+++ b/toucanrudder/platform/tests/test_platform.py
@@ -1209,7 +1209,7 @@
 @pytest.fixture
 async def fanned_out(site, monkeypatch):
     """Three routers of which one reads the registry for all."""
-    monkeypatch.setattr(fanout, "FAN_OUT_FROM", 2)
+    monkeypatch.setattr(fanout, "FANOUT_MIN_ROUTERS", 2)
     monkeypatch.setattr(fanout, "READERS", 1)
     first = await site.router("r1")
     address = first.peering.node.address
@@ -1255,7 +1255,7 @@
 async def test_followers_go_on_when_their_reader_is_gone(site, fanned_out):
     # The router that reads for all stops without a word.  The others ask
     # the store themselves until another is known to read.
-    (name,) = fanout.readers(each.state.name for each in fanned_out)
+    (name,) = fanout.select_readers(each.state.name for each in fanned_out)
     reader = next(each for each in fanned_out if each.state.name == name)
     others = [each for each in fanned_out if each is not reader]
     await reader.peering.client._channels.close()
--- a/toucanrudder/store/fanout.py
+++ b/toucanrudder/store/fanout.py
@@ -21,7 +21,7 @@
 
 #: Routers from which on changes are fanned out.  Below, readers and
 #: followers would be almost the same.
-FAN_OUT_FROM = 12
+FANOUT_MIN_ROUTERS = 12
 
 #: Routers that read: one or two may be cut off from the store and one
 #: may be stopping, while the rest still tell all others.
@@ -76,17 +76,17 @@
     age_s: float
 
 
-def is_fanned_out(routers: int) -> bool:
+def uses_fanout(routers: int) -> bool:
     """Say whether so many routers fan changes out."""
-    return routers >= FAN_OUT_FROM
+    return routers >= FANOUT_MIN_ROUTERS
 
 
-def readers(names: Iterable[str]) -> list[str]:
+def select_readers(names: Iterable[str]) -> list[str]:
     """Return the routers that read from the store, of all that live.
 
     Examples
     --------
-    >>> len(readers(f"r{n}" for n in range(82)))
+    >>> len(select_readers(f"r{n}" for n in range(82)))
     6
     """
     return list(_ranked(frozenset(names))[:READERS])
@@ -186,7 +186,7 @@
                     await self._news.wait()
 
 
-class FannedFeed(feed.KindFeed):
+class FanoutFeed(feed.KindFeed):
     """A feed that asks the store, or a router that has asked it.
 
     Parameters
--- a/toucanrudder/store/tests/test_fanout.py
+++ b/toucanrudder/store/tests/test_fanout.py
@@ -52,7 +52,7 @@
         self.told = told
         self.asked = []
         self.log = fanout.ChangeLog()
-        self.feed = fanout.FannedFeed(
+        self.feed = fanout.FanoutFeed(
             store,
             self.log,
             is_reader=lambda: is_reader,
@@ -201,4 +201,4 @@
     ("routers", "fanned_out"), [(1, False), (8, False), (82, True)]
 )
 def test_only_large_fleets_fan_out(routers, fanned_out):
-    assert fanout.is_fanned_out(routers) is fanned_out
+    assert fanout.uses_fanout(routers) is fanned_out
--- a/toucanrudder/store/tests/test_fanout_days.py
+++ b/toucanrudder/store/tests/test_fanout_days.py
@@ -114,7 +114,7 @@
         self.day, self.name = day, name
         self.content = {}
         self.log = fanout.ChangeLog()
-        self.feed = fanout.FannedFeed(
+        self.feed = fanout.FanoutFeed(
             Link(day.store, lambda: name in day.cut),
             self.log,
             is_reader=lambda: name in day.readers(name),
@@ -177,7 +177,7 @@
         self.routers = {name: Router(self, name) for name in names}
 
     def readers(self, name):
-        return fanout.readers({name, *self.views[name]})
+        return fanout.select_readers({name, *self.views[name]})
 
     def dies_or_returns(self):
         for name in self.rng.sample(sorted(self.routers), ROUTERS // 5):
