--- a/toucanrudder/forwarding/following.py
+++ b/toucanrudder/forwarding/following.py
@@ -363,7 +363,7 @@
     def _confirmed(self, now_s: float, due_s: float) -> None:
         registry = self._state.registry
         registry.confirmed(now_s, due_s)
-        sent_s = self._upstream_log.served_s
+        sent_s = self._upstream_log.last_answered_sent_s
         if sent_s is not None:
             registry.was_served(continuity.Span(sent_s, sent_s))
 
--- a/toucanrudder/peers/server.py
+++ b/toucanrudder/peers/server.py
@@ -148,7 +148,9 @@
         position = feed.Position(request.era, request.revision)
         await log.wait(position, min(request.wait_s, MAX_WAIT_S))
         return changes.to_wire(
-            fanout.ReaderReply(log.since(position), log.age_s(clock.now_s()))
+            fanout.ReaderReply(
+                log.changes_since(position), log.age_s(clock.now_s())
+            )
         )
 
     async def _authenticate(self, context) -> None:
--- a/toucanrudder/peers/tests/test_questions.py
+++ b/toucanrudder/peers/tests/test_questions.py
@@ -24,7 +24,7 @@
 
     def __init__(self):
         super().__init__()
-        self.replaced(feed.Snapshot((), POSITION), 0.0)
+        self.reset(feed.Snapshot((), POSITION), 0.0)
         self.is_asked = asyncio.Event()
 
     async def wait(self, position, wait_s):
--- a/toucanrudder/store/fanout.py
+++ b/toucanrudder/store/fanout.py
@@ -102,7 +102,7 @@
 
     Attributes
     ----------
-    served_s : float or None
+    last_answered_sent_s : float or None
         When the newest call was sent that the store answered; None if
         there is none yet.
 
@@ -110,10 +110,10 @@
     --------
     >>> log = ChangeLog()
     >>> at = functools.partial(feed.Position, 1)
-    >>> log.since(at(3)) is None
+    >>> log.changes_since(at(3)) is None
     True
-    >>> log.changed(at(3), feed.Changes((), at(5)), now_s=1.0)
-    >>> log.since(at(4)).position, log.since(at(2))
+    >>> log.append(at(3), feed.Changes((), at(5)), now_s=1.0)
+    >>> log.changes_since(at(4)).position, log.changes_since(at(2))
     (Position(era=1, revision=5), None)
     """
 
@@ -125,15 +125,15 @@
         )
         self._read_at_s = float("-inf")
         self._news = asyncio.Event()
-        self.served_s: float | None = None
+        self.last_answered_sent_s: float | None = None
 
-    def replaced(self, found: feed.Snapshot, now_s: float) -> None:
+    def reset(self, found: feed.Snapshot, now_s: float) -> None:
         """Begin anew with a whole list."""
         self._changes.clear()
         self._first = found.position
         self._note(found.position, now_s)
 
-    def changed(
+    def append(
         self, position: feed.Position, found: feed.Changes, now_s: float
     ) -> None:
         """Take in what came after a position."""
@@ -156,7 +156,7 @@
         """Return the time since the store has answered."""
         return now_s - self._read_at_s
 
-    def since(self, position: feed.Position) -> feed.Changes | None:
+    def changes_since(self, position: feed.Position) -> feed.Changes | None:
         """Return what came after the position; None if it is not known.
 
         A change counts as new until all that was read together with it is
@@ -238,8 +238,8 @@
         """Return all objects of the kind."""
         sent_s = self._clock()
         found = await self._store.snapshot(kind, timeout_s=timeout_s)
-        self._log.served_s = sent_s
-        self._log.replaced(found, self._clock())
+        self._log.last_answered_sent_s = sent_s
+        self._log.reset(found, self._clock())
         return found
 
     async def changes(
@@ -255,8 +255,8 @@
             wait_s = min(wait_s, READER_WAIT_S)
         sent_s = self._clock()
         found = await self._store.changes(kind, position, wait_s=wait_s)
-        self._log.served_s = sent_s
-        self._log.changed(position, found, self._clock())
+        self._log.last_answered_sent_s = sent_s
+        self._log.append(position, found, self._clock())
         return found
 
     async def _settled(self) -> None:
--- a/toucanrudder/store/tests/test_fanout.py
+++ b/toucanrudder/store/tests/test_fanout.py
@@ -123,11 +123,13 @@
         (10, fanout.READER_WAIT_S),
         (12, fanout.READER_WAIT_S),
     ]
-    names = [each.object.name for each in fleet.log.since(at(10)).changes]
+    names = [
+        each.object.name for each in fleet.log.changes_since(at(10)).changes
+    ]
     assert names == ["i1", "i2"]
-    assert fleet.log.since(at(12)) == changes(15, "i2")
-    assert fleet.log.since(at(15)) == changes(15)
-    assert fleet.log.since(at(9)) is None
+    assert fleet.log.changes_since(at(12)) == changes(15, "i2")
+    assert fleet.log.changes_since(at(15)) == changes(15)
+    assert fleet.log.changes_since(at(9)) is None
     assert fleet.log.age_s(fleet.now_s + 0.5) == 0.5
 
 
@@ -146,15 +148,15 @@
     fleet = Fleet(store, is_reader=True)
     await fleet.changes(10)
     await fleet.changes(25)
-    assert fleet.log.since(at(12)) is None
-    assert fleet.log.since(at(25)) == changes(30, "i9")
+    assert fleet.log.changes_since(at(12)) is None
+    assert fleet.log.changes_since(at(25)) == changes(30, "i9")
 
 
 async def test_a_reader_that_is_behind_takes_nothing_back():
     # A follower that has read further asks a reader that has not.
     log = fanout.ChangeLog()
-    log.replaced(feed.Snapshot((), at(10)), 0.0)
-    assert log.since(at(14)) == changes(14)
+    log.reset(feed.Snapshot((), at(10)), 0.0)
+    assert log.changes_since(at(14)) == changes(14)
 
 
 @pytest.mark.parametrize(
@@ -165,9 +167,9 @@
 async def test_a_reader_of_another_era_tells_no_changes(asked, known):
     # Revisions were given out again: what lies between is not the same.
     log = fanout.ChangeLog()
-    log.replaced(feed.Snapshot((), known), 0.0)
+    log.reset(feed.Snapshot((), known), 0.0)
     await asyncio.wait_for(log.wait(asked, 30.0), 10)
-    assert log.since(asked) is None
+    assert log.changes_since(asked) is None
 
 
 async def test_failures_of_the_store_are_not_hidden():
@@ -181,10 +183,10 @@
 
 async def test_a_waiting_question_is_answered_by_the_next_change():
     log = fanout.ChangeLog()
-    log.replaced(feed.Snapshot((), at(10)), 0.0)
+    log.reset(feed.Snapshot((), at(10)), 0.0)
     waiting = asyncio.ensure_future(log.wait(at(10), 30.0))
     await asyncio.sleep(0)
-    log.changed(at(10), changes(11, "i1"), 0.0)
+    log.append(at(10), changes(11, "i1"), 0.0)
     await asyncio.wait_for(waiting, 10)
 
 
@@ -192,9 +194,9 @@
     monkeypatch.setattr(fanout, "MAX_CHANGES", 2)
     log = fanout.ChangeLog()
     for revision in range(10, 14):
-        log.changed(at(revision), changes(revision + 1, f"i{revision}"), 0.0)
-    assert log.since(at(10)) is None
-    assert len(log.since(at(12)).changes) == 2
+        log.append(at(revision), changes(revision + 1, f"i{revision}"), 0.0)
+    assert log.changes_since(at(10)) is None
+    assert len(log.changes_since(at(12)).changes) == 2
 
 
 @pytest.mark.parametrize(
--- a/toucanrudder/store/tests/test_fanout_days.py
+++ b/toucanrudder/store/tests/test_fanout_days.py
@@ -159,7 +159,7 @@
             return None
         await log.wait(position, wait_s)
         return fanout.ReaderReply(
-            log.since(position), log.age_s(clock.now_s())
+            log.changes_since(position), log.age_s(clock.now_s())
         )
 
 
