--- a/toucanrudder/forwarding/following.py
+++ b/toucanrudder/forwarding/following.py
@@ -275,10 +275,12 @@
             self._upstream_log,
             is_reader=self._is_reader,
             has_followers=self._has_followers,
-            choose=self._choose_reader,
-            ask=self._ask_reader,
+            choose_reader=self._choose_reader,
+            ask_reader=self._ask_reader,
             clock=clock.now_s,
-            is_settled=lambda: self._is_settled(self._upstreams_settling),
+            is_membership_known=lambda: self._is_settled(
+                self._upstreams_settling
+            ),
         )
         return [
             self._controller(
--- a/toucanrudder/store/fanout.py
+++ b/toucanrudder/store/fanout.py
@@ -199,14 +199,14 @@
         Whether this router reads from the store.
     has_followers : callable
         Whether others ask this router instead of the store.
-    choose : callable
+    choose_reader : callable
         Given the names of readers not to ask, returns another, or None.
-    ask : callable
+    ask_reader : callable
         Asks a reader for the changes of a kind after a position, for as
         long as it is given; None if there was no answer.
     clock : callable
         Monotonic time in seconds.
-    is_settled : callable
+    is_membership_known : callable
         Whether the routers are known, so that all agree on who reads.
     """
 
@@ -217,20 +217,20 @@
         *,
         is_reader: Callable[[], bool],
         has_followers: Callable[[], bool],
-        choose: Callable[[set[str]], Reader | None],
-        ask: Callable[
+        choose_reader: Callable[[set[str]], Reader | None],
+        ask_reader: Callable[
             [Reader, str, feed.Position, float], Awaitable[ReaderReply | None]
         ],
         clock: Callable[[], float],
-        is_settled: Callable[[], bool] = lambda: True,
+        is_membership_known: Callable[[], bool] = lambda: True,
     ):
-        self._is_settled = is_settled
+        self._is_membership_known = is_membership_known
         self._store = store
         self._log = log
         self._is_reader = is_reader
         self._has_followers = has_followers
-        self._choose = choose
-        self._ask = ask
+        self._choose_reader = choose_reader
+        self._ask_reader = ask_reader
         self._clock = clock
         self._shunned_until_s: dict[str, float] = {}
 
@@ -261,7 +261,7 @@
 
     async def _settled(self) -> None:
         while True:
-            if self._is_settled():
+            if self._is_membership_known():
                 return
             await asyncio.sleep(SETTLE_LOOK_S)
 
@@ -275,10 +275,10 @@
             for name, until_s in self._shunned_until_s.items()
             if until_s > now_s
         }
-        reader = self._choose(set(self._shunned_until_s))
+        reader = self._choose_reader(set(self._shunned_until_s))
         if reader is None:
             return None
-        told = await self._ask(reader, kind, position, wait_s)
+        told = await self._ask_reader(reader, kind, position, wait_s)
         is_good = told is not None and told.age_s <= MAX_AGE_S
         if not is_good or told.changes is None:
             self._shunned_until_s[reader.name] = self._clock() + SHUN_S
--- a/toucanrudder/store/tests/test_fanout.py
+++ b/toucanrudder/store/tests/test_fanout.py
@@ -57,8 +57,8 @@
             self.log,
             is_reader=lambda: is_reader,
             has_followers=lambda: has_followers,
-            choose=self.choose,
-            ask=self.ask,
+            choose_reader=self.choose,
+            ask_reader=self.ask,
             clock=lambda: self.now_s,
         )
 
--- a/toucanrudder/store/tests/test_fanout_days.py
+++ b/toucanrudder/store/tests/test_fanout_days.py
@@ -119,8 +119,8 @@
             self.log,
             is_reader=lambda: name in day.readers(name),
             has_followers=lambda: True,
-            choose=self.choose,
-            ask=self.ask,
+            choose_reader=self.choose,
+            ask_reader=self.ask,
             clock=clock.now_s,
         )
         self.controller = feeds.FeedController(
