--- a/toucanrudder/bench/capacity/pure.py
+++ b/toucanrudder/bench/capacity/pure.py
@@ -83,9 +83,9 @@
 def choices(size: int) -> dict:
     """Choose among engines of the forwarding path that all hold the parts."""
     from toucanrudder.forwarding import cache
-    from toucanrudder.forwarding import loads
     from toucanrudder.forwarding import model
     from toucanrudder.forwarding import placing
+    from toucanrudder.forwarding import upstream_states
 
     parts = (model.Part("a", 500), model.Part("b", 4500))
     prompt = model.Prompt("m", (*parts, model.Part("own", 6000)), 11_000)
@@ -101,7 +101,7 @@
             weights={"m": 2},
         )
         index.read(upstream.incarnation, cache.salt("", 2), parts)
-        state = loads.UpstreamState(requests=number % 7)
+        state = upstream_states.UpstreamState(requests=number % 7)
         candidates.append(placing.Candidate(upstream, state))
     store = model.CacheStore("10.9.0.1:80", "z0")
     repeats = max(5, CHOICE_REPEATS // size)
--- a/toucanrudder/forwarding/placing.py
+++ b/toucanrudder/forwarding/placing.py
@@ -17,11 +17,11 @@
 import attrs
 
 from toucanrudder.forwarding import cache
-from toucanrudder.forwarding import loads
 from toucanrudder.forwarding import model
 from toucanrudder.forwarding import rollout
 from toucanrudder.forwarding import speeds
 from toucanrudder.forwarding import stores
+from toucanrudder.forwarding import upstream_states
 from toucanrudder.placement import rendezvous
 
 #: What one more running request costs the others there: a decode step
@@ -90,7 +90,7 @@
     ----------
     upstream : model.Upstream
         The upstream.
-    state : loads.UpstreamState
+    state : upstream_states.UpstreamState
         What this router has seen of it.
     weights_age_s : float
         For how long its weights have been superseded; 0 for the newest.
@@ -99,7 +99,7 @@
     """
 
     upstream: model.Upstream
-    state: loads.UpstreamState
+    state: upstream_states.UpstreamState
     weights_age_s: float = 0.0
     peers_tokens: int = 0
     peers_requests: int = 0
--- a/toucanrudder/forwarding/state.py
+++ b/toucanrudder/forwarding/state.py
@@ -10,7 +10,6 @@
 from toucanrudder import clock
 from toucanrudder import errors
 from toucanrudder.forwarding import cache as caches
-from toucanrudder.forwarding import loads
 from toucanrudder.forwarding import model
 from toucanrudder.forwarding import placing
 from toucanrudder.forwarding import poison
@@ -20,6 +19,7 @@
 from toucanrudder.forwarding import shares
 from toucanrudder.forwarding import speeds
 from toucanrudder.forwarding import stores
+from toucanrudder.forwarding import upstream_states
 from toucanrudder.http1 import pool as pools
 from toucanrudder.observability import decisions
 from toucanrudder.peers import loads as peers_loads
@@ -66,7 +66,9 @@
     registry: registries.Registry = attrs.field(factory=registries.Registry)
     cache: caches.CacheIndex = attrs.field(factory=caches.CacheIndex)
     store_health: stores.StoreHealth = attrs.field(factory=stores.StoreHealth)
-    states: loads.UpstreamStates = attrs.field(factory=loads.UpstreamStates)
+    states: upstream_states.UpstreamStates = attrs.field(
+        factory=upstream_states.UpstreamStates
+    )
     pool: pools.ConnectionPool = attrs.field(factory=pools.ConnectionPool)
     newest_weights: dict[str, "NamedWeights"] = attrs.field(factory=dict)
     peer_loads: peers_loads.PeerLoads = attrs.field(
--- a/toucanrudder/forwarding/tests/test_decisions.py
+++ b/toucanrudder/forwarding/tests/test_decisions.py
@@ -6,13 +6,13 @@
 
 from toucanrudder import errors
 from toucanrudder.forwarding import cache
-from toucanrudder.forwarding import loads
 from toucanrudder.forwarding import model
 from toucanrudder.forwarding import placing
 from toucanrudder.forwarding import registry
 from toucanrudder.forwarding import rollout
 from toucanrudder.forwarding import routing
 from toucanrudder.forwarding import tries
+from toucanrudder.forwarding import upstream_states
 from toucanrudder.store import continuity
 
 Ended, Progress, Step = tries.Ended, tries.Progress, tries.Step
@@ -151,7 +151,7 @@
 
 
 def candidate(name, version=1, zone="za", leaving=False, **fields):
-    state = loads.UpstreamState()
+    state = upstream_states.UpstreamState()
     for key in set(fields) & set(dir(state)):
         setattr(state, key, fields.pop(key))
     return placing.Candidate(
--- a/toucanrudder/forwarding/tests/test_placing_cost.py
+++ b/toucanrudder/forwarding/tests/test_placing_cost.py
@@ -7,11 +7,11 @@
 import pytest
 
 from toucanrudder.forwarding import cache
-from toucanrudder.forwarding import loads
 from toucanrudder.forwarding import model
 from toucanrudder.forwarding import placing
 from toucanrudder.forwarding import speeds
 from toucanrudder.forwarding import stores
+from toucanrudder.forwarding import upstream_states
 from toucanrudder.placement import rendezvous
 
 NOW_S = 10.0
@@ -50,7 +50,7 @@
         slots=32,
         weights=rng.choice(({"m": 1}, {"m": 2}, {"m": 2, "other": 1}, {})),
     )
-    state = loads.UpstreamState(
+    state = upstream_states.UpstreamState(
         requests=rng.choice((0, 0, 3, 40)),
         prefill_tokens=rng.choice((0, 0, 9_000)),
         failures_in_row=rng.choice((0, 0, 0, 1)),
--- a/toucanrudder/forwarding/tests/test_restarts.py
+++ b/toucanrudder/forwarding/tests/test_restarts.py
@@ -6,10 +6,10 @@
 from hypothesis import strategies
 
 from toucanrudder.forwarding import cache
-from toucanrudder.forwarding import loads
 from toucanrudder.forwarding import model
 from toucanrudder.forwarding import registry
 from toucanrudder.forwarding import rollout
+from toucanrudder.forwarding import upstream_states
 
 NAMES = strategies.sampled_from(["i1", "i2", "i3"])
 PARTS = (model.Part("a", 100),)
@@ -44,7 +44,7 @@
         self.now_s = 100.0
         self.registry = registry.Registry()
         self.cache = cache.CacheIndex()
-        self.states = loads.UpstreamStates()
+        self.states = upstream_states.UpstreamStates()
         self.born_ms = {"i1": 1, "i2": 1, "i3": 1}
         self.told_ms = dict.fromkeys(self.born_ms, 0)
         self.left: set[str] = set()
--- a/toucanrudder/forwarding/tests/test_speeds.py
+++ b/toucanrudder/forwarding/tests/test_speeds.py
@@ -5,10 +5,10 @@
 import pytest
 
 from toucanrudder.forwarding import cache
-from toucanrudder.forwarding import loads
 from toucanrudder.forwarding import model
 from toucanrudder.forwarding import placing
 from toucanrudder.forwarding import speeds
+from toucanrudder.forwarding import upstream_states
 
 PARTS = (model.Part("a", 6_000), model.Part("own", 3_000))
 PROMPT = model.Prompt("m", PARTS, prompt_tokens=9_000)
@@ -23,7 +23,7 @@
         slots=64,
         weights={"m": version},
     )
-    state = loads.UpstreamState(prefill_tokens=unread)
+    state = upstream_states.UpstreamState(prefill_tokens=unread)
     return placing.Candidate(upstream, state, **fields)
 
 
