--- a/toucanrudder/forwarding/daemon.py
+++ b/toucanrudder/forwarding/daemon.py
@@ -29,8 +29,8 @@
 from toucanrudder.forwarding import loading
 from toucanrudder.forwarding import orders
 from toucanrudder.forwarding import peering
+from toucanrudder.forwarding import retry_window
 from toucanrudder.forwarding import rollout
-from toucanrudder.forwarding import shares
 from toucanrudder.forwarding import state as states
 from toucanrudder.http1 import message
 from toucanrudder.http1 import server
@@ -107,7 +107,7 @@
             name=conf.router.name,
             zone=conf.router.zone,
             rng=self.rng,
-            budget_bounds=shares.BudgetBounds(
+            budget_bounds=retry_window.BudgetBounds(
                 conf.retries.ratio, conf.retries.slack, conf.retries.window_s
             ),
             pace=rollout.Pace(conf.weights.bound_ms / 1000),
--- a/toucanrudder/forwarding/state.py
+++ b/toucanrudder/forwarding/state.py
@@ -14,9 +14,9 @@
 from toucanrudder.forwarding import placing
 from toucanrudder.forwarding import poison
 from toucanrudder.forwarding import registry as registries
+from toucanrudder.forwarding import retry_window
 from toucanrudder.forwarding import rollout
 from toucanrudder.forwarding import routing
-from toucanrudder.forwarding import shares
 from toucanrudder.forwarding import speeds
 from toucanrudder.forwarding import stores
 from toucanrudder.forwarding import upstream_states
@@ -49,7 +49,7 @@
         This router and its availability zone.
     rng : random.Random
         For splits and ties.
-    budget_bounds : shares.BudgetBounds
+    budget_bounds : retry_window.BudgetBounds
         Bounds of retries over all routers.
     live_routers : callable
         Number of live routers, this one included.
@@ -60,7 +60,7 @@
     name: str
     zone: str
     rng: random.Random
-    budget_bounds: shares.BudgetBounds
+    budget_bounds: retry_window.BudgetBounds
     live_routers: Callable[[], int] = lambda: 1
     pace: rollout.Pace = rollout.USUAL_PACE
     registry: registries.Registry = attrs.field(factory=registries.Registry)
@@ -85,7 +85,7 @@
     stop_at_s: float = float("inf")
     open_requests: int = 0
     _table: routing.RoutingTable | None = None
-    _retries: dict[str, shares.RetryWindow] = attrs.field(factory=dict)
+    _retries: dict[str, retry_window.RetryWindow] = attrs.field(factory=dict)
 
     @property
     def configuration(self) -> model.Configuration | None:
@@ -139,11 +139,11 @@
             and self.registry.is_filled
         )
 
-    def retries_to(self, service: str) -> shares.RetryWindow:
+    def retries_to(self, service: str) -> retry_window.RetryWindow:
         """Return this router's share of the retries to a service."""
         found = self._retries.get(service)
         if found is None:
-            found = shares.RetryWindow(self.budget_bounds)
+            found = retry_window.RetryWindow(self.budget_bounds)
             self._retries[service] = found
         return found
 
--- a/toucanrudder/forwarding/tests/test_cache_feed.py
+++ b/toucanrudder/forwarding/tests/test_cache_feed.py
@@ -11,7 +11,7 @@
 from toucanrudder.forwarding import cache
 from toucanrudder.forwarding import cache_feed
 from toucanrudder.forwarding import model
-from toucanrudder.forwarding import shares
+from toucanrudder.forwarding import retry_window
 from toucanrudder.forwarding import state as states
 from toucanrudder.testing.virtual import timing
 
@@ -59,7 +59,7 @@
 
 def _controller(fault, faulty="e1", routers=lambda: ["r0"]):
     rng = random.Random(1)
-    state = states.ForwardingState("r0", "", rng, shares.BudgetBounds())
+    state = states.ForwardingState("r0", "", rng, retry_window.BudgetBounds())
     service = model.Service("s", model.Engine(64, 100_000))
     state.offer(model.Configuration(1, services={"s": service}))
     for name in ("e1", "e2"):
--- a/toucanrudder/forwarding/tests/test_orders.py
+++ b/toucanrudder/forwarding/tests/test_orders.py
@@ -10,8 +10,8 @@
 from toucanrudder.forwarding import loading
 from toucanrudder.forwarding import model
 from toucanrudder.forwarding import orders
+from toucanrudder.forwarding import retry_window
 from toucanrudder.forwarding import rollout
-from toucanrudder.forwarding import shares
 from toucanrudder.forwarding import state as states
 from toucanrudder.leases import decision
 from toucanrudder.leases import holder
@@ -86,7 +86,7 @@
             f"r{place}",
             "",
             rng,
-            shares.BudgetBounds(),
+            retry_window.BudgetBounds(),
             live_routers=lambda: self.routers,
         )
         service = model.Service("s", model.Engine(64, 100_000))
--- a/toucanrudder/forwarding/tests/test_shares.py
+++ b/toucanrudder/forwarding/tests/test_retry_window.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from toucanrudder.forwarding import shares
+from toucanrudder.forwarding import retry_window
 
-BOUNDS = shares.BudgetBounds(0.2, 56.0, 10.0)
+BOUNDS = retry_window.BudgetBounds(0.2, 56.0, 10.0)
 
 
 def number(times, after_s, until_s):
@@ -32,7 +32,7 @@
     # engines fail as many requests as routers would retry.  In no window
     # are more sent again than the bound allows.
     rng = random.Random(seed)
-    windows = [shares.RetryWindow(BOUNDS) for _ in range(routers)]
+    windows = [retry_window.RetryWindow(BOUNDS) for _ in range(routers)]
     requests, retries, rate = [], [], 0
     for step in range(900):
         now_s = step * 0.05
@@ -49,7 +49,7 @@
 
 
 def after_steady_traffic(routers, per_router_s=10):
-    window = shares.RetryWindow(BOUNDS)
+    window = retry_window.RetryWindow(BOUNDS)
     for tick in range(200):
         for _ in range(per_router_s // 10):
             window.request(tick * 0.1)
@@ -71,7 +71,9 @@
     # 82 routers share a bound of some 200 retries; each sees six requests
     # a second.  If none of them ever had a whole retry, each request that
     # an engine refuses would be lost.
-    window = shares.RetryWindow(shares.BudgetBounds(0.2, 204.0, 10.0))
+    window = retry_window.RetryWindow(
+        retry_window.BudgetBounds(0.2, 204.0, 10.0)
+    )
     for tick in range(60):
         window.request(tick / 6)
     assert window.spend(10.0, routers=82)
@@ -80,10 +82,10 @@
 def test_a_fresh_router_uses_half_of_its_slack():
     # All routers are killed and start again: those before them may have
     # used their share in the same window.
-    window = shares.RetryWindow(BOUNDS)
+    window = retry_window.RetryWindow(BOUNDS)
     window.request(5.0)
     granted = [window.spend(5.0, routers=2) for _ in range(30)]
     assert granted.count(True) <= BOUNDS.slack / 2 / 2
-    later = shares.RetryWindow(BOUNDS)
+    later = retry_window.RetryWindow(BOUNDS)
     later.request(5.0)
     assert later.left(15.0, 2) > later.left(5.0, 2)
