--- a/toucanrudder/forwarding/placing.py
+++ b/toucanrudder/forwarding/placing.py
@@ -94,14 +94,14 @@
         What this router has seen of it.
     weights_age_s : float
         For how long its weights have been superseded; 0 for the newest.
-    peers_tokens, peers_requests : int
+    peer_prefill_tokens, peers_requests : int
         Work of other routers there, as they told.
     """
 
     upstream: model.Upstream
     state: upstream_states.UpstreamState
     weights_age_s: float = 0.0
-    peers_tokens: int = 0
+    peer_prefill_tokens: int = 0
     peers_requests: int = 0
 
     def requests(self, now_s: float) -> float:
@@ -531,7 +531,7 @@
         cost_s += OLD_WEIGHTS_S
     elif each.weights_age_s > 0:
         cost_s += SUPERSEDED_S
-    unread = state.prefill_tokens + each.peers_tokens
+    unread = state.prefill_tokens + each.peer_prefill_tokens
     return unread + cost_s * speed.read_tokens_per_s
 
 
--- a/toucanrudder/forwarding/tests/test_decisions.py
+++ b/toucanrudder/forwarding/tests/test_decisions.py
@@ -217,7 +217,7 @@
 def test_work_of_other_routers_counts():
     one, two = candidate("i1"), candidate("i2")
     home = placed([one, two]).upstream.incarnation
-    loaded = candidate(home, peers_tokens=60_000)
+    loaded = candidate(home, peer_prefill_tokens=60_000)
     other = two if home == "i1" else one
     assert placed([loaded, other]).upstream != loaded.upstream
 
--- a/toucanrudder/forwarding/tests/test_placing_cost.py
+++ b/toucanrudder/forwarding/tests/test_placing_cost.py
@@ -61,7 +61,7 @@
         upstream,
         state,
         weights_age_s=rng.choice((0.0, 0.5, 3.0)),
-        peers_tokens=rng.choice((0, 2_000)),
+        peer_prefill_tokens=rng.choice((0, 2_000)),
         peers_requests=rng.choice((0, 2)),
     )
 
