--- a/toucanrudder/forwarding/placing.py
+++ b/toucanrudder/forwarding/placing.py
@@ -94,7 +94,7 @@
         What this router has seen of it.
     weights_age_s : float
         For how long its weights have been superseded; 0 for the newest.
-    peer_prefill_tokens, peers_requests : int
+    peer_prefill_tokens, peer_requests : int
         Work of other routers there, as they told.
     """
 
@@ -102,12 +102,12 @@
     state: upstream_states.UpstreamState
     weights_age_s: float = 0.0
     peer_prefill_tokens: int = 0
-    peers_requests: int = 0
+    peer_requests: int = 0
 
     def requests(self, now_s: float) -> float:
         """Return the requests there, of all routers."""
         state = self.state
-        others = self.peers_requests
+        others = self.peer_requests
         if state.load is not None:
             others = max(state.others(now_s), others)
         return state.requests + others
--- a/toucanrudder/forwarding/tests/test_placing_cost.py
+++ b/toucanrudder/forwarding/tests/test_placing_cost.py
@@ -62,7 +62,7 @@
         state,
         weights_age_s=rng.choice((0.0, 0.5, 3.0)),
         peer_prefill_tokens=rng.choice((0, 2_000)),
-        peers_requests=rng.choice((0, 2)),
+        peer_requests=rng.choice((0, 2)),
     )
 
 
