--- a/toucanrudder/forwarding/course.py
+++ b/toucanrudder/forwarding/course.py
@@ -269,7 +269,7 @@
         if not candidates:
             code = errors.Code.NO_UPSTREAM
         elif all(
-            placing.closes_in_s(each, bound_s, now_s) <= 0
+            placing.time_to_cutoff_s(each, bound_s, now_s) <= 0
             for each in candidates
         ):
             code = errors.Code.WEIGHTS_TOO_OLD
--- a/toucanrudder/forwarding/placing.py
+++ b/toucanrudder/forwarding/placing.py
@@ -146,7 +146,9 @@
     candidates: int = 1
 
 
-def closes_in_s(candidate: Candidate, bound_s: float, now_s: float) -> float:
+def time_to_cutoff_s(
+    candidate: Candidate, bound_s: float, now_s: float
+) -> float:
     """Return after which time an engine gets no work for its old weights.
 
     Failure: the router that orders new weights falls silent, and engines
@@ -186,7 +188,7 @@
         each
         for each in candidates
         if not each.upstream.is_leaving
-        and closes_in_s(each, bound_s, now_s) > 0
+        and time_to_cutoff_s(each, bound_s, now_s) > 0
     ]
     awake = [
         each for each in staying if each.state.paused_until_s <= now_s
