--- a/toucanrudder/bench/capacity/pure.py
+++ b/toucanrudder/bench/capacity/pure.py
@@ -107,8 +107,10 @@
     repeats = max(5, CHOICE_REPEATS // size)
     meter = isolation.Meter()
     for _ in range(repeats):
-        usable = placing.usable(candidates, 10.0)
-        placing.for_prompt(prompt, "", usable, index, store=store, now_s=10.0)
+        usable = placing.usable_candidates(candidates, 10.0)
+        placing.choose_for_prompt(
+            prompt, "", usable, index, store=store, now_s=10.0
+        )
     return {"decision_s": meter.spent_s() / repeats}
 
 
--- a/toucanrudder/forwarding/course.py
+++ b/toucanrudder/forwarding/course.py
@@ -216,7 +216,9 @@
         candidates = self.state.candidates(
             self.service, self.call.prompt, time.monotonic()
         )
-        usable = placing.usable(candidates, now_s, self.state.pace.bound_s)
+        usable = placing.usable_candidates(
+            candidates, now_s, self.state.pace.bound_s
+        )
         usable = [
             each
             for each in usable
@@ -226,7 +228,7 @@
             raise self._nobody(candidates)
         if self.call.prompt is not None:
             store = self.state.store_for(self.call.prompt, self.wall(), now_s)
-            choice = placing.for_prompt(
+            choice = placing.choose_for_prompt(
                 self.call.prompt,
                 self.wall(),
                 usable,
@@ -240,7 +242,7 @@
             )
             self.copy_at = self._place_for_copy(choice, candidates, now_s)
             return choice
-        return placing.for_plain(
+        return placing.choose_for_plain(
             self.state.zone, usable, now_s=now_s, rng=self.state.rng
         )
 
@@ -255,7 +257,7 @@
         if not self.route.is_stream or not once:
             # What may be resumed is run anew elsewhere at no risk.
             return None
-        return placing.backup_for(
+        return placing.choose_backup(
             choice, self.call.prompt, engine, candidates, now_s
         )
 
--- a/toucanrudder/forwarding/placing.py
+++ b/toucanrudder/forwarding/placing.py
@@ -164,7 +164,7 @@
     return bound_s - wait_s - candidate.weights_age_s
 
 
-def usable(
+def usable_candidates(
     candidates: Iterable[Candidate],
     now_s: float,
     bound_s: float = rollout.USUAL_PACE.bound_s,
@@ -202,7 +202,7 @@
     return [each for each in fresh if each.state.full_until_s <= now_s]
 
 
-def backup_for(
+def choose_backup(
     choice: Choice,
     prompt: model.Prompt,
     engine: model.Engine,
@@ -273,7 +273,7 @@
         return max(0, prompt.prompt_tokens - got)
 
 
-def for_prompt(
+def choose_for_prompt(
     prompt: model.Prompt,
     wall: str,
     candidates: Sequence[Candidate],
@@ -537,7 +537,7 @@
     return unread + cost_s * speed.read_tokens_per_s
 
 
-def for_plain(
+def choose_for_plain(
     zone: str,
     candidates: Sequence[Candidate],
     *,
--- a/toucanrudder/forwarding/tests/test_decisions.py
+++ b/toucanrudder/forwarding/tests/test_decisions.py
@@ -164,7 +164,7 @@
 
 
 def placed(candidates, index=None, prompt=PROMPT, store=None, **known):
-    return placing.for_prompt(
+    return placing.choose_for_prompt(
         prompt,
         "",
         candidates,
@@ -317,7 +317,9 @@
 )
 def test_which_upstreams_get_work(fields, taken):
     other = candidate("i2")
-    found = placing.usable([candidate("i1", **fields), other], now_s=10.0)
+    found = placing.usable_candidates(
+        [candidate("i1", **fields), other], now_s=10.0
+    )
     names = [each.upstream.incarnation for each in found]
     assert names == (["i1", "i2"] if taken else ["i2"])
 
@@ -344,13 +346,13 @@
     ("fields", "taken"), LAST_RESORT.values(), ids=LAST_RESORT.keys()
 )
 def test_what_is_used_when_there_is_nothing_else(fields, taken):
-    found = placing.usable([candidate("i1", **fields)], now_s=10.0)
+    found = placing.usable_candidates([candidate("i1", **fields)], now_s=10.0)
     assert bool(found) is taken
 
 
 def test_a_plain_request_goes_to_the_least_busy():
     rng = random.Random(1)
-    chosen = placing.for_plain(
+    chosen = placing.choose_for_plain(
         "za",
         [candidate("i1", requests=4), candidate("i2", zone="zb")],
         now_s=10.0,
@@ -362,7 +364,7 @@
 def test_a_plain_request_stays_in_its_zone_if_that_costs_little():
     rng = random.Random(1)
     chosen = {
-        placing.for_plain(
+        placing.choose_for_plain(
             "zb",
             [candidate("i1", requests=1), candidate("i2", 1, "zb")],
             now_s=10.0,
@@ -377,7 +379,7 @@
 
 
 def backup(chosen, *others):
-    found = placing.backup_for(
+    found = placing.choose_backup(
         placing.Choice(chosen.upstream),
         PROMPT,
         ENGINE,
@@ -685,7 +687,7 @@
     assert rollout.at_once(9, urgent_s, pace) == 3
     assert rollout.at_once(9, urgent_s - 1, pace) == 2
     old = placing.OLD_SHARE * bound_s
-    found = placing.usable(
+    found = placing.usable_candidates(
         [candidate("i1", weights_age_s=old + 0.01), candidate("i2")],
         now_s=10.0,
         bound_s=bound_s,
@@ -702,7 +704,7 @@
     # engine, and callers would be refused for good.
     load = model.Load(8, waiting, 8)
     newest = candidate("i1", load=load, load_at_s=10.0)
-    assert placing.usable([newest], now_s=10.0, bound_s=bound_s)
+    assert placing.usable_candidates([newest], now_s=10.0, bound_s=bound_s)
 
 
 def test_a_quiet_registry_makes_no_list_old():
--- a/toucanrudder/forwarding/tests/test_placing_cost.py
+++ b/toucanrudder/forwarding/tests/test_placing_cost.py
@@ -88,7 +88,7 @@
 
 
 def choose(state):
-    return placing.for_prompt(
+    return placing.choose_for_prompt(
         state.prompt,
         "",
         state.candidates,
--- a/toucanrudder/forwarding/tests/test_speeds.py
+++ b/toucanrudder/forwarding/tests/test_speeds.py
@@ -31,7 +31,7 @@
     index = cache.CacheIndex()
     for name in holders:
         index.read(name, "1", PARTS[:1])
-    return placing.for_prompt(
+    return placing.choose_for_prompt(
         PROMPT, "", candidates, index, speed=speed, now_s=10.0
     )
 
--- a/toucanrudder/testing/virtual/sites.py
+++ b/toucanrudder/testing/virtual/sites.py
@@ -450,7 +450,7 @@
         candidates = node.daemon.state.candidates(
             virtual_engines.SERVICE, prompt, now_s
         )
-        return placing.usable(candidates, now_s, self.bound_s)
+        return placing.usable_candidates(candidates, now_s, self.bound_s)
 
     def used_by(self, router: str) -> set[str]:
         """Return the names of the engines that a router would send to."""
