--- a/toucanrudder/forwarding/cache_feed.py
+++ b/toucanrudder/forwarding/cache_feed.py
@@ -39,12 +39,12 @@
 MAX_ASKING = 8
 
 
-def engines_tell(routers: int) -> bool:
+def polls_engines(routers: int) -> bool:
     """Return whether engines are asked what their caches hold.
 
     Examples
     --------
-    >>> engines_tell(8), engines_tell(65)
+    >>> polls_engines(8), polls_engines(65)
     (True, False)
     """
     return routers <= MOST_ROUTERS
@@ -156,7 +156,7 @@
     ) -> None:
         """Begin and end questions, so that the right routers ask."""
         asked = sources
-        if not engines_tell(len(routers)):
+        if not polls_engines(len(routers)):
             asked = tuple(
                 each for each in sources if isinstance(each, model.CacheStore)
             )
--- a/toucanrudder/forwarding/course.py
+++ b/toucanrudder/forwarding/course.py
@@ -235,7 +235,7 @@
                 self.state.cache,
                 store=store,
                 speed=self.state.speed_of(self.service, store),
-                engines_tell=cache_feed.engines_tell(
+                engines_report_cache=cache_feed.polls_engines(
                     self.state.live_routers()
                 ),
                 now_s=now_s,
--- a/toucanrudder/forwarding/placing.py
+++ b/toucanrudder/forwarding/placing.py
@@ -281,7 +281,7 @@
     *,
     store: model.CacheStore | None = None,
     speed: speeds.Speeds = USUAL_SPEEDS,
-    engines_tell: bool = False,
+    engines_report_cache: bool = False,
     now_s: float,
 ) -> Choice:
     """Choose an engine for a prompt.
@@ -300,13 +300,13 @@
         Where the prompt's shared parts may be kept.
     speed : speeds.Speeds
         What the engines do in a second.
-    engines_tell : bool
+    engines_report_cache : bool
         Whether engines tell this router what they drop.
     now_s : float
         Monotonic time.
     """
     held = _held(prompt, wall, candidates, index)
-    copying = held if engines_tell else _storeless(held, prompt, store)
+    copying = held if engines_report_cache else _storeless(held, prompt, store)
     _copy_from_engines(copying, held, speed, now_s)
     _copy_from_store(held, prompt, wall, store, index, speed)
     shared_tokens = sum(part.tokens for part in prompt.shared)
--- a/toucanrudder/forwarding/tests/test_decisions.py
+++ b/toucanrudder/forwarding/tests/test_decisions.py
@@ -277,18 +277,25 @@
     assert not choice.save_to
 
 
-@pytest.mark.parametrize("engines_tell", [False, True])
-def test_an_engine_is_copied_from_only_if_it_tells_what_it_drops(engines_tell):
+@pytest.mark.parametrize("engines_report_cache", [False, True])
+def test_an_engine_is_copied_from_only_if_it_tells_what_it_drops(
+    engines_report_cache,
+):
     # Otherwise it has often dropped the parts, and the store has them.
     index = cache.CacheIndex()
     index.read("i2", "1", SHARED)
     busy = candidate("i2", prefill_tokens=60_000)
     choice = placed(
-        [candidate("i1"), busy], index, store=STORE, engines_tell=engines_tell
+        [candidate("i1"), busy],
+        index,
+        store=STORE,
+        engines_report_cache=engines_report_cache,
     )
     assert choice.upstream.incarnation == "i1"
     told = busy.upstream.address
-    assert choice.copy_from == (told if engines_tell else STORE.address)
+    assert choice.copy_from == (
+        told if engines_report_cache else STORE.address
+    )
 
 
 def test_a_store_makes_engines_alike():
--- a/toucanrudder/forwarding/tests/test_placing_cost.py
+++ b/toucanrudder/forwarding/tests/test_placing_cost.py
@@ -31,7 +31,7 @@
     candidates: tuple[placing.Candidate, ...]
     index: cache.CacheIndex
     store: model.CacheStore | None
-    engines_tell: bool
+    engines_report_cache: bool
 
 
 def parts(rng, count):
@@ -94,7 +94,7 @@
         state.candidates,
         state.index,
         store=state.store,
-        engines_tell=state.engines_tell,
+        engines_report_cache=state.engines_report_cache,
         now_s=NOW_S,
     )
 
@@ -127,7 +127,11 @@
     option = Option(each, cached)
     best, most = None, 0
     may_use_store = state.store is not None and each.weights_age_s <= 0
-    if may_use_store and state.prompt.shared and not state.engines_tell:
+    if (
+        may_use_store
+        and state.prompt.shared
+        and not state.engines_report_cache
+    ):
         everyone = ()
     for other in everyone:
         is_source = (
