--- a/toucanrudder/forwarding/placing.py
+++ b/toucanrudder/forwarding/placing.py
@@ -49,7 +49,7 @@
 #: Part of the time within which engines must have new weights, from which
 #: an older one gets work only if there is no other: its answers are worth
 #: nothing at the end of that time, and are worth less long before.
-OLD_SHARE = 0.69
+LAST_RESORT_AGE_SHARE = 0.69
 
 #: Seconds before the end of that time from which an engine gets no work
 #: at all: routers learn of new weights up to half a second late, and a
@@ -197,7 +197,9 @@
         each for each in awake if each.state.avoided_until_s <= now_s
     ] or awake
     fresh = [
-        each for each in working if each.weights_age_s < OLD_SHARE * bound_s
+        each
+        for each in working
+        if each.weights_age_s < LAST_RESORT_AGE_SHARE * bound_s
     ] or working
     return [each for each in fresh if each.state.full_until_s <= now_s]
 
--- a/toucanrudder/forwarding/tests/test_decisions.py
+++ b/toucanrudder/forwarding/tests/test_decisions.py
@@ -693,7 +693,7 @@
     pace = rollout.Pace(bound_s)
     assert rollout.at_once(9, urgent_s, pace) == 3
     assert rollout.at_once(9, urgent_s - 1, pace) == 2
-    old = placing.OLD_SHARE * bound_s
+    old = placing.LAST_RESORT_AGE_SHARE * bound_s
     found = placing.usable_candidates(
         [candidate("i1", weights_age_s=old + 0.01), candidate("i2")],
         now_s=10.0,
