--- a/toucanrudder/forwarding/course.py
+++ b/toucanrudder/forwarding/course.py
@@ -72,7 +72,7 @@
     dialect: dialects.Dialect
     request: server.Request
     answer: server.Answer
-    matched: routing.Matched
+    matched: routing.RouteMatch
     service: str
     deadline_s: float = 0.0
     progress: tries.Progress = attrs.field(factory=tries.Progress)
--- a/toucanrudder/forwarding/dialect.py
+++ b/toucanrudder/forwarding/dialect.py
@@ -99,7 +99,7 @@
         self,
         head: message.RequestHead,
         body: bytes,
-        matched: routing.Matched,
+        matched: routing.RouteMatch,
         instructions: Instructions,
     ) -> message.RequestHead:
         """Return the head of the request for an upstream."""
--- a/toucanrudder/forwarding/routing.py
+++ b/toucanrudder/forwarding/routing.py
@@ -11,7 +11,7 @@
 
 
 @attrs.frozen
-class Matched:
+class RouteMatch:
     """A call with all that the configuration says of it."""
 
     call: model.Call
@@ -102,7 +102,7 @@
             end = path.rfind("/", 0, end)
         return None
 
-    def match(self, call: model.Call) -> Matched:
+    def match(self, call: model.Call) -> RouteMatch:
         """Return what the configuration says of the call.
 
         Raises
@@ -124,10 +124,10 @@
             )
         return self._matched(call, route, organisation)
 
-    def _matched(self, call, route, organisation) -> Matched:
+    def _matched(self, call, route, organisation) -> RouteMatch:
         own = organisation.priority if organisation else None
         rank = self._ranks[_urgency(own, route.priority)]
-        return Matched(call, route, organisation, rank)
+        return RouteMatch(call, route, organisation, rank)
 
 
 def service_of(route: model.Route, rng: random.Random) -> str:
--- a/toucanrudder/platform/dialect.py
+++ b/toucanrudder/platform/dialect.py
@@ -94,7 +94,7 @@
         self,
         head: message.RequestHead,
         body: bytes,
-        matched: routing.Matched,
+        matched: routing.RouteMatch,
         instructions: dialect.Instructions,
     ) -> message.RequestHead:
         """Return the head of the request for an upstream."""
