--- a/toucanrudder/forwarding/forwarder.py
+++ b/toucanrudder/forwarding/forwarder.py
@@ -133,7 +133,7 @@
             request,
             answer,
             matched,
-            routing.service_of(route, self.state.rng),
+            routing.pick_service(route, self.state.rng),
         )
         _check_poison(course)
         seen.tries = lambda: course.attempt_count
--- a/toucanrudder/forwarding/routing.py
+++ b/toucanrudder/forwarding/routing.py
@@ -130,7 +130,7 @@
         return RouteMatch(call, route, organisation, rank)
 
 
-def service_of(route: model.Route, rng: random.Random) -> str:
+def pick_service(route: model.Route, rng: random.Random) -> str:
     """Return the service that takes this request, by the split's weights.
 
     Raises
--- a/toucanrudder/forwarding/tests/test_decisions.py
+++ b/toucanrudder/forwarding/tests/test_decisions.py
@@ -680,7 +680,7 @@
     split = (model.Split("a", 3), model.Split("b", 1), model.Split("c", 0))
     of = model.Route("r", "h", "/", split)
     rng = random.Random(5)
-    found = [routing.service_of(of, rng) for _ in range(400)]
+    found = [routing.pick_service(of, rng) for _ in range(400)]
     assert 260 < found.count("a") < 340
     assert "c" not in found
 
