--- a/toucanrudder/forwarding/placing.py
+++ b/toucanrudder/forwarding/placing.py
@@ -167,7 +167,7 @@
 def usable_candidates(
     candidates: Iterable[Candidate],
     now_s: float,
-    bound_s: float = rollout.USUAL_PACE.bound_s,
+    bound_s: float = rollout.DEFAULT_PACE.bound_s,
 ) -> Sequence[Candidate]:
     """Return the candidates worth sending to.
 
--- a/toucanrudder/forwarding/rollout.py
+++ b/toucanrudder/forwarding/rollout.py
@@ -54,7 +54,7 @@
         return URGENT_AGE_SHARE * self.bound_s
 
 
-USUAL_PACE = Pace()
+DEFAULT_PACE = Pace()
 
 
 #: Requests running on an engine from which it is not waited until they
@@ -157,7 +157,7 @@
 
 
 def waits_for_runs(
-    report: Report, waited_s: float, age_s: float, pace: Pace = USUAL_PACE
+    report: Report, waited_s: float, age_s: float, pace: Pace = DEFAULT_PACE
 ) -> bool:
     """Say whether the order waits until more of its requests have ended.
 
@@ -271,7 +271,7 @@
     ]
 
 
-def at_once(engines: int, oldest_s: float, pace: Pace = USUAL_PACE) -> int:
+def at_once(engines: int, oldest_s: float, pace: Pace = DEFAULT_PACE) -> int:
     """Return how many of a service's engines may load at once.
 
     Parameters
@@ -305,7 +305,7 @@
     given: Mapping[str, Given],
     oldest_s: float,
     now_s: float,
-    pace: Pace = USUAL_PACE,
+    pace: Pace = DEFAULT_PACE,
 ) -> int:
     """Return how many more of a service's engines may load now.
 
@@ -345,7 +345,7 @@
     busy: Mapping[str, float],
     age_s: Callable[[Task], float],
     now_s: float,
-    pace: Pace = USUAL_PACE,
+    pace: Pace = DEFAULT_PACE,
     stuck: Mapping[str, float] = types.MappingProxyType({}),
 ) -> list[Task]:
     """Return the orders to give now, the cheapest engines first.
--- a/toucanrudder/forwarding/state.py
+++ b/toucanrudder/forwarding/state.py
@@ -62,7 +62,7 @@
     rng: random.Random
     budget_bounds: retry_window.BudgetBounds
     live_routers: Callable[[], int] = lambda: 1
-    pace: rollout.Pace = rollout.USUAL_PACE
+    pace: rollout.Pace = rollout.DEFAULT_PACE
     registry: registries.Registry = attrs.field(factory=registries.Registry)
     cache: caches.CacheIndex = attrs.field(factory=caches.CacheIndex)
     store_health: stores.StoreHealth = attrs.field(factory=stores.StoreHealth)
--- a/toucanrudder/forwarding/turns.py
+++ b/toucanrudder/forwarding/turns.py
@@ -113,7 +113,7 @@
         Whether any engine has answered.
     """
 
-    pace: rollout.Pace = rollout.USUAL_PACE
+    pace: rollout.Pace = rollout.DEFAULT_PACE
     has_new_list: bool = True
     first_asked_s: float | None = None
     has_heard: bool = False
