--- a/toucanrudder/forwarding/attempt.py
+++ b/toucanrudder/forwarding/attempt.py
@@ -417,7 +417,7 @@
             # The report may count what came after the question.
             return False
         request_id = self.course.call.request_id
-        if not report.has_lost(request_id, self.course.progress.events):
+        if not report.has_lost_events(request_id, self.course.progress.events):
             return False
         self.evidence.silence = tries.Silence.NOT_LISTED
         if request_id in report.events:
--- a/toucanrudder/forwarding/rollout.py
+++ b/toucanrudder/forwarding/rollout.py
@@ -112,7 +112,7 @@
     memory_share: float = 0.0
     born_ms: int = 0
 
-    def has_lost(self, request_id: str, received: int) -> bool:
+    def has_lost_events(self, request_id: str, received: int) -> bool:
         """Say whether events of a request were made that never arrived.
 
         Parameters
@@ -124,11 +124,11 @@
 
         Examples
         --------
-        >>> Report({}, events={"r": 5}).has_lost("r", 5)
+        >>> Report({}, events={"r": 5}).has_lost_events("r", 5)
         False
-        >>> Report({}, events={"r": 9}).has_lost("r", 5)
+        >>> Report({}, events={"r": 9}).has_lost_events("r", 5)
         True
-        >>> Report({}).has_lost("r", 5), Report({}, waiting=1).has_lost("r", 5)
+        >>> Report({}).has_lost_events("r", 5), Report({}, waiting=1).has_lost_events("r", 5)
         (True, False)
         """
         made = self.events.get(request_id)
