--- a/toucanrudder/forwarding/loading.py
+++ b/toucanrudder/forwarding/loading.py
@@ -158,7 +158,7 @@
             The engine's newest report; None if it carries out an order.
         """
         began_s = clock.now_s()
-        while rollout.waits_for_runs(
+        while rollout.waits_for_requests(
             report,
             clock.now_s() - began_s,
             self._age_s(task),
--- a/toucanrudder/forwarding/rollout.py
+++ b/toucanrudder/forwarding/rollout.py
@@ -156,7 +156,7 @@
 LOADED_SHARE = 0.8
 
 
-def waits_for_runs(
+def waits_for_requests(
     report: Report, waited_s: float, age_s: float, pace: Pace = DEFAULT_PACE
 ) -> bool:
     """Say whether the order waits until more of its requests have ended.
@@ -185,9 +185,9 @@
     Examples
     --------
     >>> quiet = Report({}, running=9, memory_share=0.3)
-    >>> waits_for_runs(quiet, 0.2, 1.0), waits_for_runs(quiet, 1.1, 1.0)
+    >>> waits_for_requests(quiet, 0.2, 1.0), waits_for_requests(quiet, 1.1, 1.0)
     (True, False)
-    >>> waits_for_runs(attrs.evolve(quiet, memory_share=0.8), 0.2, 1.0)
+    >>> waits_for_requests(attrs.evolve(quiet, memory_share=0.8), 0.2, 1.0)
     False
     """
     is_urgent = age_s > pace.urgent_s
--- a/toucanrudder/forwarding/tests/test_decisions.py
+++ b/toucanrudder/forwarding/tests/test_decisions.py
@@ -504,7 +504,7 @@
 def test_an_engine_works_off_what_it_has_before_its_order(
     said, waited_s, waits
 ):
-    assert rollout.waits_for_runs(said, waited_s, age_s=1.0) is waits
+    assert rollout.waits_for_requests(said, waited_s, age_s=1.0) is waits
 
 
 URGENT = {
@@ -526,7 +526,7 @@
     # seconds later.  If each engine then gets another second to work off
     # what it has, the last one begins requests on weights that were
     # superseded more than eight seconds ago: their answers are worthless.
-    found = rollout.waits_for_runs(said, waited_s, age_s=5.0)
+    found = rollout.waits_for_requests(said, waited_s, age_s=5.0)
     assert found is waits
 
 
