--- a/toucanrudder/forwarding/loading.py
+++ b/toucanrudder/forwarding/loading.py
@@ -178,7 +178,7 @@
         report = await self._emptied(task, report)
         if report is None or self._state.stopping:
             return False
-        mode = rollout.mode(report)
+        mode = rollout.load_mode(report)
         # Versions named while the engine was emptied are skipped.
         newest = self._state.newest_weights[task.model].version
         task = attrs.evolve(task, version=newest)
--- a/toucanrudder/forwarding/orders.py
+++ b/toucanrudder/forwarding/orders.py
@@ -185,7 +185,7 @@
         return [
             task
             for engines in self._engines().values()
-            for task in rollout.missing(engines, newest)
+            for task in rollout.outstanding_tasks(engines, newest)
         ]
 
     def _note_left(self, left: list[rollout.Task], now_s: float) -> None:
@@ -272,7 +272,7 @@
                 each.incarnation: self._busy(each, now_s) for each in engines
             }
             self._forget_done(engines, newest)
-            for task in rollout.plan(
+            for task in rollout.plan_orders(
                 self._orderable(engines, now_s),
                 newest,
                 self._given,
@@ -319,7 +319,7 @@
     def _forget_done(self, engines, newest) -> None:
         open_names = {
             task.upstream.incarnation
-            for task in rollout.missing(engines, newest)
+            for task in rollout.outstanding_tasks(engines, newest)
         }
         for each in engines:
             if each.incarnation not in open_names:
@@ -372,7 +372,7 @@
             ]
             age_s = self._age_s(task)
             given.has_place = (
-                rollout.room(
+                rollout.free_slots(
                     engines,
                     self._given,
                     age_s,
--- a/toucanrudder/forwarding/rollout.py
+++ b/toucanrudder/forwarding/rollout.py
@@ -198,7 +198,7 @@
     return report.running >= KEEP_FROM and waited_s < EMPTY_S
 
 
-def mode(report: Report) -> Mode:
+def load_mode(report: Report) -> Mode:
     """Return how an engine is to load.
 
     An engine that waits takes nothing new until its slowest request has
@@ -249,7 +249,7 @@
     has_place: bool = True
 
 
-def missing(
+def outstanding_tasks(
     upstreams: Iterable[model.Upstream], newest: Mapping[str, int]
 ) -> list[Task]:
     """Return what is left to do; engines that leave need no new weights.
@@ -257,9 +257,9 @@
     Examples
     --------
     >>> one = model.Upstream("i1", "s", "10.0.0.1:1", weights={"m": 1})
-    >>> [task.version for task in missing([one], {"m": 3})]
+    >>> [task.version for task in outstanding_tasks([one], {"m": 3})]
     [3]
-    >>> missing([one], {"m": 1})
+    >>> outstanding_tasks([one], {"m": 1})
     []
     """
     return [
@@ -271,7 +271,9 @@
     ]
 
 
-def at_once(engines: int, oldest_s: float, pace: Pace = DEFAULT_PACE) -> int:
+def max_concurrent_loads(
+    engines: int, oldest_s: float, pace: Pace = DEFAULT_PACE
+) -> int:
     """Return how many of a service's engines may load at once.
 
     Parameters
@@ -285,7 +287,7 @@
 
     Examples
     --------
-    >>> at_once(9, oldest_s=0.0), at_once(9, oldest_s=3.0), at_once(1, 0.0)
+    >>> max_concurrent_loads(9, oldest_s=0.0), max_concurrent_loads(9, oldest_s=3.0), max_concurrent_loads(1, 0.0)
     (2, 3, 1)
     """
     share = URGENT_SHARE if oldest_s > pace.urgent_s else LOADING_SHARE
@@ -300,7 +302,7 @@
     }
 
 
-def room(
+def free_slots(
     engines: Iterable[model.Upstream],
     given: Mapping[str, Given],
     oldest_s: float,
@@ -326,7 +328,7 @@
     --------
     >>> engines = [model.Upstream(f"i{n}", "s", "") for n in range(10)]
     >>> given = {"i1": Given(2, 0.0), "i2": Given(2, 0.0, has_place=False)}
-    >>> room(engines, given, 0.0, now_s=0.5)
+    >>> free_slots(engines, given, 0.0, now_s=0.5)
     1
     """
     names = {each.incarnation for each in engines}
@@ -335,10 +337,10 @@
         for name, order in _under_way(given, now_s).items()
         if name in names
     )
-    return at_once(len(names), oldest_s, pace) - taken
+    return max_concurrent_loads(len(names), oldest_s, pace) - taken
 
 
-def plan(
+def plan_orders(
     upstreams: Iterable[model.Upstream],
     newest: Mapping[str, int],
     given: Mapping[str, Given],
@@ -386,17 +388,17 @@
     under_way = _under_way(given, now_s)
     open_tasks = [
         task
-        for task in missing(engines, newest)
+        for task in outstanding_tasks(engines, newest)
         if task.upstream.incarnation not in under_way
     ]
     oldest_s = max(map(age_s, open_tasks), default=0.0)
-    free = room(engines, given, oldest_s, now_s, pace)
+    free = free_slots(engines, given, oldest_s, now_s, pace)
     asked = sorted(
         (t for t in open_tasks if t.upstream.incarnation in stuck),
         key=lambda task: stuck[task.upstream.incarnation],
     )
     asking = sum(not order.has_place for order in under_way.values())
-    may_ask = at_once(len(engines), oldest_s, pace) - asking
+    may_ask = max_concurrent_loads(len(engines), oldest_s, pace) - asking
     open_tasks = [
         task for task in open_tasks if task.upstream.incarnation not in stuck
     ]
--- a/toucanrudder/forwarding/tests/test_decisions.py
+++ b/toucanrudder/forwarding/tests/test_decisions.py
@@ -410,7 +410,7 @@
         for number, version in enumerate(versions, 1)
     ]
     ages = ages or {}
-    tasks = rollout.plan(
+    tasks = rollout.plan_orders(
         engines,
         {"m": newest},
         given or {},
@@ -473,7 +473,7 @@
     # An engine loads new weights while it reads a prompt.  The parts it
     # keeps were made on the new weights and bear the old ones' name.  An
     # engine that still has the old ones fetches them and answers wrongly.
-    assert rollout.mode(said) is rollout.Mode(mode)
+    assert rollout.load_mode(said) is rollout.Mode(mode)
 
 
 WAITS = {
@@ -691,8 +691,8 @@
 @pytest.mark.parametrize(("bound_s", "urgent_s"), PACES.items())
 def test_a_shorter_time_makes_weights_urgent_sooner(bound_s, urgent_s):
     pace = rollout.Pace(bound_s)
-    assert rollout.at_once(9, urgent_s, pace) == 3
-    assert rollout.at_once(9, urgent_s - 1, pace) == 2
+    assert rollout.max_concurrent_loads(9, urgent_s, pace) == 3
+    assert rollout.max_concurrent_loads(9, urgent_s - 1, pace) == 2
     old = placing.LAST_RESORT_AGE_SHARE * bound_s
     found = placing.usable_candidates(
         [candidate("i1", weights_age_s=old + 0.01), candidate("i2")],
--- a/toucanrudder/forwarding/tests/test_restarts.py
+++ b/toucanrudder/forwarding/tests/test_restarts.py
@@ -169,7 +169,7 @@
     @stateful.invariant()
     def orders_go_to_known_starts(self):
         engines = self.registry.of("s")
-        tasks = rollout.missing(engines, {"m": 9})
+        tasks = rollout.outstanding_tasks(engines, {"m": 9})
         found = {each.upstream.incarnation for each in tasks}
         assert found <= self.registry.incarnations
 
