--- a/toucanrudder/forwarding/loading.py
+++ b/toucanrudder/forwarding/loading.py
@@ -37,14 +37,14 @@
     @abc.abstractmethod
     async def report(
         self, upstream: model.Upstream, *, timeout_s: float
-    ) -> rollout.Report | None:
+    ) -> rollout.EngineReport | None:
         """Return the engine's report; None if it gave none."""
 
     @abc.abstractmethod
     async def load(
         self,
-        task: rollout.Task,
-        report: rollout.Report,
+        task: rollout.LoadTask,
+        report: rollout.EngineReport,
         *,
         mode: rollout.Mode,
         holder: str,
@@ -95,7 +95,9 @@
         #: Orders that are on their way.
         self.calls = 0
 
-    async def asked(self, upstream: model.Upstream) -> rollout.Report | None:
+    async def asked(
+        self, upstream: model.Upstream
+    ) -> rollout.EngineReport | None:
         """Return an engine's report; None if it gives none."""
         report = await self._dialect.report(upstream, timeout_s=CALL_S)
         if report is None or not upstream.says(report.born_ms):
@@ -105,19 +107,19 @@
 
     async def load(
         self,
-        task: rollout.Task,
-        report: rollout.Report,
-        given: rollout.Given,
+        task: rollout.LoadTask,
+        report: rollout.EngineReport,
+        given: rollout.PendingOrder,
     ) -> None:
         """Order an engine and watch until it has the weights.
 
         Parameters
         ----------
-        task : rollout.Task
+        task : rollout.LoadTask
             What is to be done.
-        report : rollout.Report
+        report : rollout.EngineReport
             What the engine has just said.
-        given : rollout.Given
+        given : rollout.PendingOrder
             Its time is set when the order has been sent.
 
         Raises
@@ -140,12 +142,12 @@
         finally:
             await self._avoid(name, 0.0)
 
-    def _age_s(self, task: rollout.Task) -> float:
+    def _age_s(self, task: rollout.LoadTask) -> float:
         return self._state.weights_age_s(task.upstream, task.model)
 
     async def _emptied(
-        self, task: rollout.Task, report: rollout.Report
-    ) -> rollout.Report | None:
+        self, task: rollout.LoadTask, report: rollout.EngineReport
+    ) -> rollout.EngineReport | None:
         """Wait while the engine, which gets no new work, has much of it.
 
         A report that is lost says nothing: an engine under pressure turns
@@ -154,7 +156,7 @@
 
         Returns
         -------
-        rollout.Report or None
+        rollout.EngineReport or None
             The engine's newest report; None if it carries out an order.
         """
         began_s = clock.now_s()
@@ -171,7 +173,7 @@
         return report
 
     async def _ordered(
-        self, task: rollout.Task, report: rollout.Report
+        self, task: rollout.LoadTask, report: rollout.EngineReport
     ) -> bool:
         """Empty an engine and order it; say whether an order was sent."""
         had = report.weights.get(task.model, 0)
@@ -216,7 +218,7 @@
         )
         return True
 
-    async def _watched(self, task: rollout.Task) -> None:
+    async def _watched(self, task: rollout.LoadTask) -> None:
         """Wait until the engine has the weights, or has given up."""
         name = task.upstream.incarnation
         began_s = clock.now_s()
--- a/toucanrudder/forwarding/orders.py
+++ b/toucanrudder/forwarding/orders.py
@@ -87,7 +87,7 @@
             state, dialect, lease, avoid=avoid, heard=self._heard
         )
         self.asked = self._loader.asked
-        self._given: dict[str, rollout.Given] = {}
+        self._given: dict[str, rollout.PendingOrder] = {}
         self._undone_since_s: float | None = None
         self._held_before = False
         self._tasks: set[asyncio.Task] = set()
@@ -131,7 +131,7 @@
             else:
                 self._turn = None
 
-    async def _act(self, left: list[rollout.Task], now_s: float) -> None:
+    async def _act(self, left: list[rollout.LoadTask], now_s: float) -> None:
         """Give orders, or end a turn in which this router gets no further.
 
         Failure: this router's list of engines is old, or its calls to them
@@ -153,7 +153,7 @@
             await self._end_turn(ending, left, now_s)
 
     async def _end_turn(
-        self, ending: turns.Ending, left: list[rollout.Task], now_s: float
+        self, ending: turns.Ending, left: list[rollout.LoadTask], now_s: float
     ) -> None:
         lease = self._lease.current_lease(now_s)
         decisions.record(
@@ -179,7 +179,7 @@
             self._turn = None
             await self._lease.release()
 
-    def _left(self) -> list[rollout.Task]:
+    def _left(self) -> list[rollout.LoadTask]:
         """Return the work that is left, as far as this router knows."""
         newest = self._newest()
         return [
@@ -188,7 +188,7 @@
             for task in rollout.outstanding_tasks(engines, newest)
         ]
 
-    def _note_left(self, left: list[rollout.Task], now_s: float) -> None:
+    def _note_left(self, left: list[rollout.LoadTask], now_s: float) -> None:
         """Note since when work is left, and forget what is done."""
         names = {task.upstream.incarnation for task in left}
         self._answers.keep(names)
@@ -202,7 +202,9 @@
         elif self._undone_since_s is None:
             self._undone_since_s = now_s
 
-    def _may_try_again(self, left: list[rollout.Task], now_s: float) -> bool:
+    def _may_try_again(
+        self, left: list[rollout.LoadTask], now_s: float
+    ) -> bool:
         """Whether a turn may follow one that this router gave up.
 
         Not before another had time to begin one.  Over the same work alone
@@ -216,7 +218,7 @@
         has_new = any(task.key not in self._given_up for task in left)
         return has_new and since_s >= self._lease.timing.takeover_after_s
 
-    def _is_my_turn(self, left: list[rollout.Task], now_s: float) -> bool:
+    def _is_my_turn(self, left: list[rollout.LoadTask], now_s: float) -> bool:
         if self._held_before:
             return True
         if not self._may_try_again(left, now_s):
@@ -283,7 +285,9 @@
                 stuck,
             ):
                 name = task.upstream.incarnation
-                given = rollout.Given(task.version, now_s, name not in stuck)
+                given = rollout.PendingOrder(
+                    task.version, now_s, name not in stuck
+                )
                 self._given[name] = given
                 self._turn.asks(now_s)
                 self._start(self._carried_out(task, given))
@@ -305,7 +309,7 @@
             >= quiet_s
         ]
 
-    def _age_s(self, task: rollout.Task) -> float:
+    def _age_s(self, task: rollout.LoadTask) -> float:
         return self._state.weights_age_s(task.upstream, task.model)
 
     def _heard(self) -> None:
@@ -347,7 +351,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _carried_out(
-        self, task: rollout.Task, given: rollout.Given
+        self, task: rollout.LoadTask, given: rollout.PendingOrder
     ) -> None:
         """Order one engine and watch until it has the weights."""
         name = task.upstream.incarnation
@@ -362,7 +366,9 @@
             if self._given.get(name) is given:
                 del self._given[name]
 
-    def _takes_place(self, task: rollout.Task, given: rollout.Given) -> bool:
+    def _takes_place(
+        self, task: rollout.LoadTask, given: rollout.PendingOrder
+    ) -> bool:
         """Count an engine that answers among those that load, if it may."""
         if not given.has_place:
             engines = [
@@ -384,7 +390,7 @@
         return given.has_place
 
     def _note_answer(
-        self, task: rollout.Task, report: rollout.Report | None
+        self, task: rollout.LoadTask, report: rollout.EngineReport | None
     ) -> None:
         """Say why an engine gets no order, if it gets none."""
         name, now_s = task.upstream.incarnation, clock.now_s()
@@ -412,7 +418,9 @@
             )
         )
 
-    async def _ready(self, task: rollout.Task) -> rollout.Report | None:
+    async def _ready(
+        self, task: rollout.LoadTask
+    ) -> rollout.EngineReport | None:
         """Return the report of an engine that can be ordered, or None."""
         report = await self._loader.asked(task.upstream)
         self._note_answer(task, report)
--- a/toucanrudder/forwarding/rollout.py
+++ b/toucanrudder/forwarding/rollout.py
@@ -76,7 +76,7 @@
 
 
 @attrs.frozen
-class Report:
+class EngineReport:
     """What an engine says of itself.
 
     Parameters
@@ -124,11 +124,11 @@
 
         Examples
         --------
-        >>> Report({}, events={"r": 5}).has_lost_events("r", 5)
+        >>> EngineReport({}, events={"r": 5}).has_lost_events("r", 5)
         False
-        >>> Report({}, events={"r": 9}).has_lost_events("r", 5)
+        >>> EngineReport({}, events={"r": 9}).has_lost_events("r", 5)
         True
-        >>> Report({}).has_lost_events("r", 5), Report({}, waiting=1).has_lost_events("r", 5)
+        >>> EngineReport({}).has_lost_events("r", 5), EngineReport({}, waiting=1).has_lost_events("r", 5)
         (True, False)
         """
         made = self.events.get(request_id)
@@ -157,7 +157,10 @@
 
 
 def waits_for_requests(
-    report: Report, waited_s: float, age_s: float, pace: Pace = DEFAULT_PACE
+    report: EngineReport,
+    waited_s: float,
+    age_s: float,
+    pace: Pace = DEFAULT_PACE,
 ) -> bool:
     """Say whether the order waits until more of its requests have ended.
 
@@ -173,7 +176,7 @@
 
     Parameters
     ----------
-    report : Report
+    report : EngineReport
         What the engine says.
     waited_s : float
         For how long it has got no new work.
@@ -184,7 +187,7 @@
 
     Examples
     --------
-    >>> quiet = Report({}, running=9, memory_share=0.3)
+    >>> quiet = EngineReport({}, running=9, memory_share=0.3)
     >>> waits_for_requests(quiet, 0.2, 1.0), waits_for_requests(quiet, 1.1, 1.0)
     (True, False)
     >>> waits_for_requests(attrs.evolve(quiet, memory_share=0.8), 0.2, 1.0)
@@ -198,7 +201,7 @@
     return report.running >= KEEP_FROM and waited_s < EMPTY_S
 
 
-def load_mode(report: Report) -> Mode:
+def load_mode(report: EngineReport) -> Mode:
     """Return how an engine is to load.
 
     An engine that waits takes nothing new until its slowest request has
@@ -217,7 +220,7 @@
 
 
 @attrs.frozen
-class Task:
+class LoadTask:
     """An engine that lacks the newest weights of a model."""
 
     upstream: model.Upstream
@@ -231,7 +234,7 @@
 
 
 @attrs.define
-class Given:
+class PendingOrder:
     """An order that is being given, or has not shown its effect.
 
     Parameters
@@ -251,7 +254,7 @@
 
 def outstanding_tasks(
     upstreams: Iterable[model.Upstream], newest: Mapping[str, int]
-) -> list[Task]:
+) -> list[LoadTask]:
     """Return what is left to do; engines that leave need no new weights.
 
     Examples
@@ -263,7 +266,7 @@
     []
     """
     return [
-        Task(upstream, name, newest[name])
+        LoadTask(upstream, name, newest[name])
         for upstream in upstreams
         if not upstream.is_leaving
         for name, version in upstream.weights.items()
@@ -294,7 +297,9 @@
     return max(1, math.ceil(engines * share))
 
 
-def _under_way(given: Mapping[str, Given], now_s: float) -> dict[str, Given]:
+def _under_way(
+    given: Mapping[str, PendingOrder], now_s: float
+) -> dict[str, PendingOrder]:
     return {
         name: order
         for name, order in given.items()
@@ -304,7 +309,7 @@
 
 def free_slots(
     engines: Iterable[model.Upstream],
-    given: Mapping[str, Given],
+    given: Mapping[str, PendingOrder],
     oldest_s: float,
     now_s: float,
     pace: Pace = DEFAULT_PACE,
@@ -315,7 +320,7 @@
     ----------
     engines : iterable of model.Upstream
         Those that stay.
-    given : mapping of str to Given
+    given : mapping of str to PendingOrder
         Orders under way, by incarnation.
     oldest_s : float
         Age of the oldest weights among the engines.
@@ -327,7 +332,7 @@
     Examples
     --------
     >>> engines = [model.Upstream(f"i{n}", "s", "") for n in range(10)]
-    >>> given = {"i1": Given(2, 0.0), "i2": Given(2, 0.0, has_place=False)}
+    >>> given = {"i1": PendingOrder(2, 0.0), "i2": PendingOrder(2, 0.0, has_place=False)}
     >>> free_slots(engines, given, 0.0, now_s=0.5)
     1
     """
@@ -343,13 +348,13 @@
 def plan_orders(
     upstreams: Iterable[model.Upstream],
     newest: Mapping[str, int],
-    given: Mapping[str, Given],
+    given: Mapping[str, PendingOrder],
     busy: Mapping[str, float],
-    age_s: Callable[[Task], float],
+    age_s: Callable[[LoadTask], float],
     now_s: float,
     pace: Pace = DEFAULT_PACE,
     stuck: Mapping[str, float] = types.MappingProxyType({}),
-) -> list[Task]:
+) -> list[LoadTask]:
     """Return the orders to give now, the cheapest engines first.
 
     Engines whose weights are getting too old go before all others: where
@@ -370,7 +375,7 @@
         The engines of one service.
     newest : mapping of str to int
         Newest version by model.
-    given : mapping of str to Given
+    given : mapping of str to PendingOrder
         Orders under way, by incarnation.
     busy : mapping of str to float
         How much work an engine has, by incarnation.
--- a/toucanrudder/forwarding/state.py
+++ b/toucanrudder/forwarding/state.py
@@ -77,7 +77,7 @@
     reading: speeds.ReadingSpeeds = attrs.field(factory=speeds.ReadingSpeeds)
     breaks: poison.BreakCounts = attrs.field(factory=poison.BreakCounts)
     ask_engine: Callable[
-        [model.Upstream], Awaitable[rollout.Report | None]
+        [model.Upstream], Awaitable[rollout.EngineReport | None]
     ] = _not_asked
     doubt_weights: Callable[[model.Upstream], None] = lambda upstream: None
     stopping: bool = False
--- a/toucanrudder/forwarding/tests/test_decisions.py
+++ b/toucanrudder/forwarding/tests/test_decisions.py
@@ -450,14 +450,14 @@
 
 
 def test_an_order_without_effect_is_given_again_later():
-    given = {"i1": rollout.Given(3, 9.0)}
+    given = {"i1": rollout.PendingOrder(3, 9.0)}
     assert planned([1, 3], given=given) == []
-    given = {"i1": rollout.Given(3, 10.0 - rollout.PATIENCE_S)}
+    given = {"i1": rollout.PendingOrder(3, 10.0 - rollout.PATIENCE_S)}
     assert planned([1, 3], given=given) == ["i1"]
 
 
 def report(**fields):
-    return rollout.Report({}, **fields)
+    return rollout.EngineReport({}, **fields)
 
 
 MODES = {
--- a/toucanrudder/forwarding/tests/test_orders.py
+++ b/toucanrudder/forwarding/tests/test_orders.py
@@ -51,7 +51,7 @@
         await asyncio.sleep(0.01)
         is_busy = clock.now_s() < engine.busy_until_s
         has = engine.weights - is_busy
-        return rollout.Report({"m": has}, is_busy, orders=engine.seq)
+        return rollout.EngineReport({"m": has}, is_busy, orders=engine.seq)
 
     async def load(self, task, report, *, timeout_s, **given):
         engine = self.engines[task.upstream.incarnation]
--- a/toucanrudder/platform/orders.py
+++ b/toucanrudder/platform/orders.py
@@ -48,13 +48,13 @@
 
     async def report(
         self, upstream: model.Upstream, *, timeout_s: float
-    ) -> rollout.Report | None:
+    ) -> rollout.EngineReport | None:
         """Return the engine's report; None if it gave none."""
         found = await self._call(b"GET", "/report", upstream, timeout_s)
         body = _read(records.Report, found, upstream)
         if body is None:
             return None
-        return rollout.Report(
+        return rollout.EngineReport(
             born_ms=body.born,
             weights=objects.weights_of(body.models),
             is_busy=body.busy,
@@ -70,8 +70,8 @@
 
     async def load(
         self,
-        task: rollout.Task,
-        report: rollout.Report,
+        task: rollout.LoadTask,
+        report: rollout.EngineReport,
         *,
         mode: rollout.Mode,
         holder: str,
--- a/toucanrudder/testing/virtual/engines.py
+++ b/toucanrudder/testing/virtual/engines.py
@@ -87,7 +87,9 @@
     received: list[tuple[float, str, int, int]] = attrs.field(factory=list)
     _runs: list[Run] = attrs.field(factory=list)
     _loading: int = 0
-    _reports: list[tuple[float, rollout.Report]] = attrs.field(factory=list)
+    _reports: list[tuple[float, rollout.EngineReport]] = attrs.field(
+        factory=list
+    )
     _tasks: set[asyncio.Task] = attrs.field(factory=set)
 
     def __attrs_post_init__(self) -> None:
@@ -158,8 +160,8 @@
         """Requests that it runs."""
         return len(self._runs)
 
-    def _report_now(self, now_s: float) -> rollout.Report:
-        return rollout.Report(
+    def _report_now(self, now_s: float) -> rollout.EngineReport:
+        return rollout.EngineReport(
             weights={MODEL: self.version},
             is_busy=bool(self._loading),
             orders=self.orders,
@@ -169,7 +171,7 @@
             born_ms=self.born_ms,
         )
 
-    def report(self) -> rollout.Report | None:
+    def report(self) -> rollout.EngineReport | None:
         """Return what it says of itself; it is a little old."""
         if self.is_dark or self.rng.random() < self.refused_share:
             return None
--- a/toucanrudder/testing/virtual/sites.py
+++ b/toucanrudder/testing/virtual/sites.py
@@ -123,15 +123,15 @@
 
     async def report(
         self, upstream: model.Upstream, *, timeout_s: float
-    ) -> rollout.Report | None:
+    ) -> rollout.EngineReport | None:
         """Return the engine's report; None if it gave none."""
         engine = await self._reached(upstream, timeout_s)
         return engine.report() if engine else None
 
     async def load(
         self,
-        task: rollout.Task,
-        report: rollout.Report,
+        task: rollout.LoadTask,
+        report: rollout.EngineReport,
         *,
         mode: rollout.Mode,
         holder: str,
