--- a/toucanrudder/forwarding/loading.py
+++ b/toucanrudder/forwarding/loading.py
@@ -136,7 +136,7 @@
     @contextlib.asynccontextmanager
     async def _avoided(self, name: str) -> AsyncIterator[None]:
         """Keep work from an engine during the block, here and at peers."""
-        await self._avoid(name, rollout.PATIENCE_S)
+        await self._avoid(name, rollout.ORDER_TIMEOUT_S)
         try:
             yield
         finally:
@@ -223,7 +223,7 @@
         name = task.upstream.incarnation
         began_s = clock.now_s()
         has = 0
-        while clock.now_s() < began_s + rollout.PATIENCE_S:
+        while clock.now_s() < began_s + rollout.ORDER_TIMEOUT_S:
             await asyncio.sleep(ASK_S)
             report = await self.asked(task.upstream)
             if report is None:
--- a/toucanrudder/forwarding/rollout.py
+++ b/toucanrudder/forwarding/rollout.py
@@ -21,7 +21,7 @@
 #: After this long without a sign that an order is being carried out, the
 #: engine may be given another.  An engine loads in well under a second
 #: once its requests have ended, which takes a few.
-PATIENCE_S = 4.0
+ORDER_TIMEOUT_S = 4.0
 
 
 #: Part of the time within which engines must follow, from which an engine
@@ -142,14 +142,14 @@
 #: Longest time for which an engine gets no new work before its order:
 #: with prompts read in 0.2 to 0.5 s and answers made in two to three, the
 #: runs that an order would spoil are then few.
-EMPTY_S = 1.0
+MAX_DRAIN_S = 1.0
 
 #: The same while prompts are still being read.
-READ_S = 1.8
+MAX_PREFILL_WAIT_S = 1.8
 
 #: The same once weights are urgent (see `Pace`): a prompt is read by
 #: then unless it waits for memory.
-URGENT_READ_S = 0.5
+URGENT_PREFILL_WAIT_S = 0.5
 
 #: Part of an engine's memory in use from which it is loaded: what it does
 #: not do then, no other engine can do for it.
@@ -195,10 +195,12 @@
     """
     is_urgent = age_s > pace.urgent_s
     if report.reading:
-        return waited_s < (URGENT_READ_S if is_urgent else READ_S)
+        return waited_s < (
+            URGENT_PREFILL_WAIT_S if is_urgent else MAX_PREFILL_WAIT_S
+        )
     if is_urgent or report.memory_share >= LOADED_SHARE:
         return False
-    return report.running >= KEEP_FROM and waited_s < EMPTY_S
+    return report.running >= KEEP_FROM and waited_s < MAX_DRAIN_S
 
 
 def load_mode(report: EngineReport) -> Mode:
@@ -303,7 +305,7 @@
     return {
         name: order
         for name, order in given.items()
-        if now_s - order.at_s < PATIENCE_S
+        if now_s - order.at_s < ORDER_TIMEOUT_S
     }
 
 
--- a/toucanrudder/forwarding/tests/test_decisions.py
+++ b/toucanrudder/forwarding/tests/test_decisions.py
@@ -452,7 +452,7 @@
 def test_an_order_without_effect_is_given_again_later():
     given = {"i1": rollout.PendingOrder(3, 9.0)}
     assert planned([1, 3], given=given) == []
-    given = {"i1": rollout.PendingOrder(3, 10.0 - rollout.PATIENCE_S)}
+    given = {"i1": rollout.PendingOrder(3, 10.0 - rollout.ORDER_TIMEOUT_S)}
     assert planned([1, 3], given=given) == ["i1"]
 
 
@@ -479,7 +479,7 @@
 WAITS = {
     "few runs": (report(running=2), 0.0, False),
     "many runs": (report(running=9), 0.0, True),
-    "many runs, long enough": (report(running=9), rollout.EMPTY_S, False),
+    "many runs, long enough": (report(running=9), rollout.MAX_DRAIN_S, False),
     "many runs on a loaded engine": (
         report(running=9, memory_share=0.8),
         0.0,
@@ -487,12 +487,12 @@
     ),
     "prompts half read": (
         report(running=9, reading=1, memory_share=0.8),
-        rollout.EMPTY_S,
+        rollout.MAX_DRAIN_S,
         True,
     ),
     "prompts half read for too long": (
         report(running=9, reading=1),
-        rollout.READ_S,
+        rollout.MAX_PREFILL_WAIT_S,
         False,
     ),
 }
@@ -512,7 +512,7 @@
     "prompts half read": (report(running=9, reading=1), 0.0, True),
     "prompts half read for too long": (
         report(running=9, reading=1),
-        rollout.URGENT_READ_S,
+        rollout.URGENT_PREFILL_WAIT_S,
         False,
     ),
 }
--- a/toucanrudder/forwarding/turns.py
+++ b/toucanrudder/forwarding/turns.py
@@ -92,7 +92,7 @@
             name: asked_s
             for name, asked_s in self._asked_s.items()
             if name in self._silent_since_s
-            or now_s - self._busy_since_s[name] > rollout.PATIENCE_S
+            or now_s - self._busy_since_s[name] > rollout.ORDER_TIMEOUT_S
         }
 
 
