--- a/toucanrudder/forwarding/following.py
+++ b/toucanrudder/forwarding/following.py
@@ -262,7 +262,7 @@
         """
         if not self._is_settled(self._settling):
             return not self._has_lease
-        is_watcher = self.place_in_line() < orders.WATCHERS
+        is_watcher = self.place_in_line() < orders.LEASE_WATCHERS
         return self._note_duty("lease", is_watcher)
 
     # Who follows.
--- a/toucanrudder/forwarding/orders.py
+++ b/toucanrudder/forwarding/orders.py
@@ -44,7 +44,7 @@
 
 #: Routers, the first in line, that watch the lease, so that they know how
 #: long a holder has been silent: as many as may go at once with it.
-WATCHERS = 3
+LEASE_WATCHERS = 3
 
 _STORE_ERRORS = (
     interface.ConditionFailed,
--- a/toucanrudder/forwarding/tests/test_starts.py
+++ b/toucanrudder/forwarding/tests/test_starts.py
@@ -26,7 +26,7 @@
 MOST_CALLS = 6
 
 #: Routers that do a part for all, each with a call a second for it.
-FEW = fanout.READERS + following.WEIGHTS_FOLLOWERS + orders.WATCHERS
+FEW = fanout.READERS + following.WEIGHTS_FOLLOWERS + orders.LEASE_WATCHERS
 
 
 @attrs.define(eq=False)
@@ -91,7 +91,7 @@
     by_call = calls.by_call
     # The first in line may have just started, and counts from its look on.
     assert by_call["snapshot", holder.KIND].total() == routers
-    assert len(by_call["changes", holder.KIND]) <= orders.WATCHERS
+    assert len(by_call["changes", holder.KIND]) <= orders.LEASE_WATCHERS
     watched = by_call["changes", sites.WEIGHTS]
     assert len(watched) <= following.WEIGHTS_FOLLOWERS
     assert calls.count <= MOST_CALLS * routers + FEW * STARTED_S
@@ -102,5 +102,5 @@
     assert duties == {
         "registry": fanout.READERS,
         "weights": following.WEIGHTS_FOLLOWERS,
-        "lease": orders.WATCHERS,
+        "lease": orders.LEASE_WATCHERS,
     }
