--- a/toucanrudder/forwarding/daemon.py
+++ b/toucanrudder/forwarding/daemon.py
@@ -228,7 +228,7 @@
         me = f"{self.state.name}.{uuid.uuid4().hex[:8]}"
         return holder.LeaseHolder(
             self.platform.store,
-            orders.LEASE,
+            orders.LEASE_NAME,
             me,
             timeout_s=self.conf.store.timeout_s,
             rng=self.rng,
--- a/toucanrudder/forwarding/orders.py
+++ b/toucanrudder/forwarding/orders.py
@@ -20,7 +20,7 @@
 
 LOG = logging.getLogger(__name__)
 
-LEASE = "weights"
+LEASE_NAME = "weights"
 
 #: Pause between two looks at what is left to do.
 LOOK_S = 0.15
--- a/toucanrudder/forwarding/tests/test_orders.py
+++ b/toucanrudder/forwarding/tests/test_orders.py
@@ -98,7 +98,7 @@
         self.states.append(state)
         lease = holder.LeaseHolder(
             self.store,
-            orders.LEASE,
+            orders.LEASE_NAME,
             state.name,
             rng=rng,
             clock=clock.now_s,
