--- a/toucanrudder/forwarding/daemon.py
+++ b/toucanrudder/forwarding/daemon.py
@@ -245,8 +245,8 @@
             place_in_line=self.following.place_in_line,
             avoid=self.avoid,
         )
-        self.state.doubt_weights = controller.doubt
-        self.state.ask_engine = controller.asked
+        self.state.doubt_weights = controller.refresh_weights
+        self.state.ask_engine = controller.request_report
         return controller
 
     async def _tick(self) -> None:
--- a/toucanrudder/forwarding/loading.py
+++ b/toucanrudder/forwarding/loading.py
@@ -95,7 +95,7 @@
         #: Orders that are on their way.
         self.calls = 0
 
-    async def asked(
+    async def request_report(
         self, upstream: model.Upstream
     ) -> rollout.EngineReport | None:
         """Return an engine's report; None if it gives none."""
@@ -167,7 +167,7 @@
             self._state.pace,
         ):
             await asyncio.sleep(EMPTY_ASK_S)
-            report = await self.asked(task.upstream) or report
+            report = await self.request_report(task.upstream) or report
             if report.is_busy:
                 return None
         return report
@@ -225,7 +225,7 @@
         has = 0
         while clock.now_s() < began_s + rollout.ORDER_TIMEOUT_S:
             await asyncio.sleep(ASK_S)
-            report = await self.asked(task.upstream)
+            report = await self.request_report(task.upstream)
             if report is None:
                 continue
             has = report.weights.get(task.model, 0)
--- a/toucanrudder/forwarding/orders.py
+++ b/toucanrudder/forwarding/orders.py
@@ -86,7 +86,7 @@
         self._loader = loading.Loader(
             state, dialect, lease, avoid=avoid, heard=self._heard
         )
-        self.asked = self._loader.asked
+        self.request_report = self._loader.request_report
         self._given: dict[str, rollout.PendingOrder] = {}
         self._undone_since_s: float | None = None
         self._held_before = False
@@ -329,7 +329,7 @@
             if each.incarnation not in open_names:
                 self._given.pop(each.incarnation, None)
 
-    def doubt(self, upstream: model.Upstream) -> None:
+    def refresh_weights(self, upstream: model.Upstream) -> None:
         """Ask an engine for its weights: they are not what was believed."""
         if upstream.incarnation not in self._doubted:
             self._doubted.add(upstream.incarnation)
@@ -337,7 +337,7 @@
 
     async def _refreshed(self, upstream: model.Upstream) -> None:
         try:
-            report = await self._loader.asked(upstream)
+            report = await self._loader.request_report(upstream)
             for name, version in (report.weights if report else {}).items():
                 self._state.registry.has_weights(
                     upstream.incarnation, name, version
@@ -422,7 +422,7 @@
         self, task: rollout.LoadTask
     ) -> rollout.EngineReport | None:
         """Return the report of an engine that can be ordered, or None."""
-        report = await self._loader.asked(task.upstream)
+        report = await self._loader.request_report(task.upstream)
         self._note_answer(task, report)
         if report is None or report.is_busy:
             await asyncio.sleep(loading.ASK_S)
