--- a/toucanrudder/forwarding/attempt.py
+++ b/toucanrudder/forwarding/attempt.py
@@ -155,7 +155,9 @@
         choice = self.choice
         upstream = choice.upstream
         name = self.course.upstream = upstream.incarnation
-        with self.state.states.request(name, choice.missing_tokens) as sent:
+        with self.state.states.track_request(
+            name, choice.missing_tokens
+        ) as sent:
             try:
                 async with self._connection(upstream) as connection:
                     self._send(connection, choice)
@@ -167,7 +169,7 @@
                 raise
         if failure is not None:
             raise failure
-        self.state.states.succeeded(name)
+        self.state.states.record_success(name)
 
     def _connection(self, upstream: model.Upstream):
         newest_idle_s = float("inf")
@@ -294,7 +296,9 @@
     def _learn(self, upstream, facts) -> None:
         now_s = clock.now_s()
         if facts.load is not None:
-            self.state.states.told(upstream.incarnation, facts.load, now_s)
+            self.state.states.record_load(
+                upstream.incarnation, facts.load, now_s
+            )
         if facts.weights_version is not None and self.prompt:
             self.state.registry.has_weights(
                 upstream.incarnation,
--- a/toucanrudder/forwarding/course.py
+++ b/toucanrudder/forwarding/course.py
@@ -382,13 +382,13 @@
         now_s = clock.now_s()
         name = upstream.incarnation
         if ended is tries.Ended.FULL:
-            self.state.states.full(name, now_s, FULL_S)
+            self.state.states.record_full(name, now_s, FULL_S)
         elif ended is tries.Ended.FAILED:
-            self.state.states.erred(name)
+            self.state.states.record_error(name)
         elif ended is tries.Ended.OTHER_WEIGHTS:
             self.state.doubt_weights(upstream)
         else:
-            self.state.states.failed(name, now_s)
+            self.state.states.record_failure(name, now_s)
         if ended is tries.Ended.BROKEN:
             self.state.breaks.broke(
                 self._fingerprint(),
--- a/toucanrudder/forwarding/peering.py
+++ b/toucanrudder/forwarding/peering.py
@@ -91,7 +91,7 @@
         for name in self._told_by.pop(sender, set()) - set(told):
             self.state.states.avoid(name, now_s)
         for name, for_s in told.items():
-            self.state.states.ordered_by_peer(name, now_s + for_s, now_s)
+            self.state.states.record_peer_order(name, now_s + for_s, now_s)
         if told:
             self._told_by[sender] = set(told)
 
@@ -123,7 +123,7 @@
         """Return this router's own work at upstreams."""
         return tuple(
             messages.UpstreamLoad(name, tokens, requests)
-            for name, tokens, requests in self.state.states.busy()
+            for name, tokens, requests in self.state.states.in_use()
         )
 
 
--- a/toucanrudder/forwarding/tests/test_restarts.py
+++ b/toucanrudder/forwarding/tests/test_restarts.py
@@ -134,7 +134,7 @@
     @stateful.rule(name=NAMES, back=strategies.integers(0, 2))
     def fails(self, name, back):
         incarnation = self.some_start(name, back).incarnation
-        self.states.failed(incarnation, self.now_s)
+        self.states.record_failure(incarnation, self.now_s)
         self.failed.add(incarnation)
 
     @stateful.rule()
--- a/toucanrudder/forwarding/upstream_states.py
+++ b/toucanrudder/forwarding/upstream_states.py
@@ -73,7 +73,7 @@
                 del self._states[name]
 
     @contextlib.contextmanager
-    def request(
+    def track_request(
         self, incarnation: str, prefill_tokens: int
     ) -> Iterator["Sent"]:
         """Count one request for as long as the context is open."""
@@ -87,27 +87,29 @@
             sent.first()
             state.requests -= 1
 
-    def told(self, incarnation: str, load: model.Load, now_s: float) -> None:
+    def record_load(
+        self, incarnation: str, load: model.Load, now_s: float
+    ) -> None:
         """Note the load that came with an answer."""
         state = self.of(incarnation)
         state.load, state.load_at_s = load, now_s
 
-    def succeeded(self, incarnation: str) -> None:
+    def record_success(self, incarnation: str) -> None:
         """Note a whole answer."""
         state = self.of(incarnation)
         state.failures_in_row = 0
         state.paused_until_s = 0.0
         state.failure_share *= 1.0 - FAILURE_SMOOTHING
 
-    def failed(self, incarnation: str, now_s: float) -> None:
+    def record_failure(self, incarnation: str, now_s: float) -> None:
         """Note a broken answer, or none; leave it alone for a while."""
         state = self.of(incarnation)
-        self.erred(incarnation)
+        self.record_error(incarnation)
         state.failures_in_row += 1
         pause_s = FIRST_PAUSE_S * 2 ** (state.failures_in_row - 1)
         state.paused_until_s = now_s + min(pause_s, LONGEST_PAUSE_S)
 
-    def erred(self, incarnation: str) -> None:
+    def record_error(self, incarnation: str) -> None:
         """Note a failure that the upstream itself answered with."""
         state = self.of(incarnation)
         state.failure_share += FAILURE_SMOOTHING * (1 - state.failure_share)
@@ -116,14 +118,14 @@
         """Note until when the upstream takes no work: it loads weights."""
         self.of(incarnation).avoided_until_s = until_s
 
-    def ordered_by_peer(
+    def record_peer_order(
         self, incarnation: str, until_s: float, now_s: float
     ) -> None:
         """Note that a peer orders the upstream to load weights."""
         self.avoid(incarnation, until_s)
         self.of(incarnation).peer_ordered_s = now_s
 
-    def busy(self) -> list[tuple[str, int, int]]:
+    def in_use(self) -> list[tuple[str, int, int]]:
         """Return name, unread prompt tokens and requests of those in use."""
         return [
             (name, state.prefill_tokens, state.requests)
@@ -131,7 +133,9 @@
             if state.requests
         ]
 
-    def full(self, incarnation: str, now_s: float, for_s: float) -> None:
+    def record_full(
+        self, incarnation: str, now_s: float, for_s: float
+    ) -> None:
         """Note that the upstream has refused work for being full."""
         self.of(incarnation).full_until_s = now_s + for_s
 
