--- a/toucanrudder/forwarding/attempt.py
+++ b/toucanrudder/forwarding/attempt.py
@@ -242,7 +242,7 @@
                 copy_from=choice.copy_from,
                 save_to=choice.save_to,
                 own_requests=state.requests,
-                told_requests=state.others(now_s),
+                told_requests=state.other_requests(now_s),
                 told_age_s=now_s - state.load_at_s if state.load else None,
                 candidates=choice.candidates,
                 known=len(self.state.registry.of(self.course.service)),
--- a/toucanrudder/forwarding/orders.py
+++ b/toucanrudder/forwarding/orders.py
@@ -305,7 +305,8 @@
         return [
             each
             for each in engines
-            if now_s - self._state.states.of(each.incarnation).peer_ordered_s
+            if now_s
+            - self._state.states.of(each.incarnation).last_peer_order_s
             >= quiet_s
         ]
 
@@ -318,7 +319,7 @@
 
     def _busy(self, upstream: model.Upstream, now_s: float) -> float:
         known = self._state.states.of(upstream.incarnation)
-        return known.requests + known.others(now_s)
+        return known.requests + known.other_requests(now_s)
 
     def _forget_done(self, engines, newest) -> None:
         open_names = {
--- a/toucanrudder/forwarding/placing.py
+++ b/toucanrudder/forwarding/placing.py
@@ -109,7 +109,7 @@
         state = self.state
         others = self.peer_requests
         if state.load is not None:
-            others = max(state.others(now_s), others)
+            others = max(state.other_requests(now_s), others)
         return state.requests + others
 
 
@@ -160,7 +160,9 @@
     """
     if candidate.weights_age_s <= 0:
         return float("inf")
-    wait_s = CLOSE_WAITING_S if candidate.state.waiting(now_s) else CLOSE_S
+    wait_s = (
+        CLOSE_WAITING_S if candidate.state.waiting_requests(now_s) else CLOSE_S
+    )
     return bound_s - wait_s - candidate.weights_age_s
 
 
@@ -191,7 +193,7 @@
         and time_to_cutoff_s(each, bound_s, now_s) > 0
     ]
     awake = [
-        each for each in staying if each.state.paused_until_s <= now_s
+        each for each in staying if each.state.backoff_until_s <= now_s
     ] or staying
     working = [
         each for each in awake if each.state.avoided_until_s <= now_s
@@ -226,7 +228,7 @@
         for each in candidates
         if each.upstream.incarnation != chosen.incarnation
         and each.upstream.weights == chosen.weights
-        and each.state.paused_until_s <= now_s
+        and each.state.backoff_until_s <= now_s
         and each.state.avoided_until_s <= now_s
         and (each.requests(now_s) + 1) * prompt.prompt_tokens < room
     ]
@@ -361,7 +363,7 @@
     is_kept = store is not None and best.copy_from == store.address
     if has_all or is_kept or not _may_use(store, best.candidate):
         return ""
-    if best.candidate.state.waiting(now_s):
+    if best.candidate.state.waiting_requests(now_s):
         return ""
     return store.address
 
--- a/toucanrudder/forwarding/tests/test_decisions.py
+++ b/toucanrudder/forwarding/tests/test_decisions.py
@@ -311,7 +311,7 @@
 
 USABLE = {
     "leaving": ({"leaving": True}, False),
-    "failed just now": ({"paused_until_s": 11.0}, False),
+    "failed just now": ({"backoff_until_s": 11.0}, False),
     "loads weights": ({"avoided_until_s": 11.0}, False),
     "full just now": ({"full_until_s": 11.0}, False),
     "weights far too old": ({"weights_age_s": 7.0}, False),
@@ -332,7 +332,7 @@
 
 
 LAST_RESORT = {
-    "failed just now": ({"paused_until_s": 11.0}, True),
+    "failed just now": ({"backoff_until_s": 11.0}, True),
     "loads weights": ({"avoided_until_s": 11.0}, True),
     "weights too old": ({"weights_age_s": 6.9}, True),
     "weights past the time": ({"weights_age_s": 7.1}, False),
--- a/toucanrudder/forwarding/upstream_states.py
+++ b/toucanrudder/forwarding/upstream_states.py
@@ -31,21 +31,21 @@
     load: model.Load | None = None
     load_at_s: float = 0.0
     failures_in_row: int = 0
-    paused_until_s: float = 0.0
+    backoff_until_s: float = 0.0
     failure_share: float = 0.0
     full_until_s: float = 0.0
     avoided_until_s: float = 0.0
     #: When a peer last told that it orders the upstream to load weights.
-    peer_ordered_s: float = float("-inf")
+    last_peer_order_s: float = float("-inf")
 
-    def others(self, now_s: float) -> float:
+    def other_requests(self, now_s: float) -> float:
         """Return the requests there beside this router's, as last told."""
         if self.load is None or now_s - self.load_at_s > LOAD_KEPT_S:
             return 0.0
         told = self.load.running + self.load.waiting
         return max(0.0, told - self.requests)
 
-    def waiting(self, now_s: float) -> int:
+    def waiting_requests(self, now_s: float) -> int:
         """Return the requests that wait there, as last told."""
         if self.load is None or now_s - self.load_at_s > LOAD_KEPT_S:
             return 0
@@ -98,7 +98,7 @@
         """Note a whole answer."""
         state = self.of(incarnation)
         state.failures_in_row = 0
-        state.paused_until_s = 0.0
+        state.backoff_until_s = 0.0
         state.failure_share *= 1.0 - FAILURE_SMOOTHING
 
     def record_failure(self, incarnation: str, now_s: float) -> None:
@@ -107,7 +107,7 @@
         self.record_error(incarnation)
         state.failures_in_row += 1
         pause_s = FIRST_PAUSE_S * 2 ** (state.failures_in_row - 1)
-        state.paused_until_s = now_s + min(pause_s, LONGEST_PAUSE_S)
+        state.backoff_until_s = now_s + min(pause_s, LONGEST_PAUSE_S)
 
     def record_error(self, incarnation: str) -> None:
         """Note a failure that the upstream itself answered with."""
@@ -123,7 +123,7 @@
     ) -> None:
         """Note that a peer orders the upstream to load weights."""
         self.avoid(incarnation, until_s)
-        self.of(incarnation).peer_ordered_s = now_s
+        self.of(incarnation).last_peer_order_s = now_s
 
     def in_use(self) -> list[tuple[str, int, int]]:
         """Return name, unread prompt tokens and requests of those in use."""
