--- a/toucanrudder/forwarding/attempt.py
+++ b/toucanrudder/forwarding/attempt.py
@@ -348,7 +348,7 @@
             if whole:
                 if sent.prefill_tokens:
                     self._note_read(upstream, sent.prefill_tokens)
-                    sent.first()
+                    sent.prefill_done()
                 await self._pass_events(head, whole)
         if splitter.rest:
             raise TryEnded(tries.Ended.BROKEN)
--- a/toucanrudder/forwarding/upstream_states.py
+++ b/toucanrudder/forwarding/upstream_states.py
@@ -75,16 +75,16 @@
     @contextlib.contextmanager
     def track_request(
         self, incarnation: str, prefill_tokens: int
-    ) -> Iterator["Sent"]:
+    ) -> Iterator["TrackedRequest"]:
         """Count one request for as long as the context is open."""
         state = self.of(incarnation)
         state.requests += 1
-        sent = Sent(state, prefill_tokens)
+        sent = TrackedRequest(state, prefill_tokens)
         state.prefill_tokens += prefill_tokens
         try:
             yield sent
         finally:
-            sent.first()
+            sent.prefill_done()
             state.requests -= 1
 
     def record_load(
@@ -141,7 +141,7 @@
 
 
 @attrs.define
-class Sent:
+class TrackedRequest:
     """A request at an upstream.
 
     Parameters
@@ -155,7 +155,7 @@
     state: UpstreamState
     prefill_tokens: int
 
-    def first(self) -> None:
+    def prefill_done(self) -> None:
         """Note that the prompt has been read: the first event came."""
         self.state.prefill_tokens -= self.prefill_tokens
         self.prefill_tokens = 0
