--- a/toucanrudder/forwarding/attempt.py
+++ b/toucanrudder/forwarding/attempt.py
@@ -366,7 +366,7 @@
                 clock.now_s() - self.sent_at_s,
             )
         if self.prompt is not None:
-            self.state.cache.read(
+            self.state.cache.add_parts(
                 upstream.incarnation,
                 self._salt(upstream),
                 self.prompt.parts,
--- a/toucanrudder/forwarding/cache.py
+++ b/toucanrudder/forwarding/cache.py
@@ -88,7 +88,7 @@
     --------
     >>> index = CacheIndex()
     >>> parts = (model.Part("a", 500), model.Part("b", 4000))
-    >>> index.read("i1", "1", parts)
+    >>> index.add_parts("i1", "1", parts)
     >>> index.cached_tokens("i1", "1", parts)
     4500
     >>> index.cached_tokens("i1", "2", parts)
@@ -101,7 +101,7 @@
     def _of(self, incarnation: str) -> _Engine:
         return self._engines.setdefault(incarnation, _Engine())
 
-    def keep(self, oldest: Mapping[str, int]) -> int:
+    def retain(self, oldest: Mapping[str, int]) -> int:
         """Forget engines that are gone, and what nobody can use any more.
 
         Failure: each version of the weights begins a table of its own.
@@ -125,7 +125,7 @@
             for name, engine in self._engines.items()
         )
 
-    def told(
+    def apply_events(
         self, incarnation: str, epoch: int, events: Iterable[Event]
     ) -> None:
         """Take in what an engine told of its cache."""
@@ -139,7 +139,7 @@
             else:
                 engine.salts.get(event.salt, {}).pop(event.part, None)
 
-    def read(
+    def add_parts(
         self, incarnation: str, salt_: str, parts: Sequence[model.Part]
     ) -> None:
         """Note that an engine has read these parts of a prompt."""
--- a/toucanrudder/forwarding/cache_feed.py
+++ b/toucanrudder/forwarding/cache_feed.py
@@ -184,7 +184,7 @@
         }
         everywhere = min(oldest.values(), default=0)
         oldest.update({each.address: everywhere for each in stores})
-        dropped = self._state.cache.keep(oldest)
+        dropped = self._state.cache.retain(oldest)
         if dropped:
             decisions.record(decisions.BeliefsDropped(parts=dropped))
 
@@ -234,7 +234,9 @@
                 await asyncio.sleep(PAUSE_S)
                 continue
             since = told.next
-            self._state.cache.told(identity(source), told.epoch, told.events)
+            self._state.cache.apply_events(
+                identity(source), told.epoch, told.events
+            )
 
 
 def _reason(task: asyncio.Task) -> BaseException | None:
--- a/toucanrudder/forwarding/tests/test_decisions.py
+++ b/toucanrudder/forwarding/tests/test_decisions.py
@@ -177,7 +177,7 @@
 
 def test_a_prompt_goes_where_its_parts_are():
     index = cache.CacheIndex()
-    index.read("i2", "1", SHARED)
+    index.add_parts("i2", "1", SHARED)
     choice = placed([candidate("i1"), candidate("i2")], index)
     assert choice.upstream.incarnation == "i2"
     assert choice.missing_tokens == 6000
@@ -188,7 +188,7 @@
     # The engine that holds the parts has a long queue.  Waiting there
     # would cost more than reading; another engine copies and starts.
     index = cache.CacheIndex()
-    index.read("i2", "1", SHARED)
+    index.add_parts("i2", "1", SHARED)
     busy = candidate("i2", prefill_tokens=60_000)
     choice = placed([candidate("i1"), busy], index)
     assert choice.upstream.incarnation == "i1"
@@ -198,7 +198,7 @@
 def test_nothing_is_copied_between_different_weights():
     # Cache made on other weights gives wrong answers.
     index = cache.CacheIndex()
-    index.read("i2", "1", SHARED)
+    index.add_parts("i2", "1", SHARED)
     busy = candidate("i2", version=1, prefill_tokens=200_000)
     choice = placed([candidate("i1", version=2), busy], index)
     assert choice.upstream.incarnation == "i1"
@@ -227,7 +227,7 @@
 
 def kept(*parts):
     index = cache.CacheIndex()
-    index.read(STORE.address, "1", parts)
+    index.add_parts(STORE.address, "1", parts)
     return index
 
 
@@ -250,7 +250,7 @@
     # It may have dropped the parts since, which nobody tells in time; then
     # it reads them again unless it is told where else they are.
     index = cache.CacheIndex()
-    index.read("i1", "1", SHARED)
+    index.add_parts("i1", "1", SHARED)
     choice = placed([candidate("i1")], index, store=STORE)
     assert choice.copy_from == STORE.address
     assert not choice.save_to
@@ -283,7 +283,7 @@
 ):
     # Otherwise it has often dropped the parts, and the store has them.
     index = cache.CacheIndex()
-    index.read("i2", "1", SHARED)
+    index.add_parts("i2", "1", SHARED)
     busy = candidate("i2", prefill_tokens=60_000)
     choice = placed(
         [candidate("i1"), busy],
@@ -302,7 +302,7 @@
     # Where the parts can be fetched, the idle engine is as good as the
     # one that holds them.
     index = kept(*SHARED)
-    index.read("i1", "1", SHARED)
+    index.add_parts("i1", "1", SHARED)
     busy = candidate("i1", prefill_tokens=9_000)
     choice = placed([busy, candidate("i2")], index, store=STORE)
     assert choice.upstream.incarnation == "i2"
@@ -627,16 +627,16 @@
 def test_events_of_a_restarted_engine_replace_all_beliefs():
     index = cache.CacheIndex()
     event = cache.Event("1", "a", 500, True)
-    index.told("i1", 7, [event])
+    index.apply_events("i1", 7, [event])
     assert index.cached_tokens("i1", "1", SHARED) == 500
-    index.told("i1", 8, [])
+    index.apply_events("i1", 8, [])
     assert index.cached_tokens("i1", "1", SHARED) == 0
 
 
 def test_a_part_without_those_before_it_is_of_no_use():
     index = cache.CacheIndex()
-    index.read("i1", "1", SHARED)
-    index.told("i1", None, [cache.Event("1", "a", 0, False)])
+    index.add_parts("i1", "1", SHARED)
+    index.apply_events("i1", None, [cache.Event("1", "a", 0, False)])
     assert index.cached_tokens("i1", "1", SHARED) == 0
 
 
--- a/toucanrudder/forwarding/tests/test_placing_cost.py
+++ b/toucanrudder/forwarding/tests/test_placing_cost.py
@@ -78,12 +78,12 @@
         if rng.random() < holding:
             held = prompt_parts[: rng.randint(1, len(prompt_parts))]
             version = each.upstream.weights.get("m")
-            index.read(
+            index.add_parts(
                 each.upstream.incarnation, cache.salt("", version), held
             )
     store = rng.choice((None, STORE))
     if store is not None and rng.random() < 0.5:
-        index.read(store.address, cache.salt("", 2), prompt_parts[:-1])
+        index.add_parts(store.address, cache.salt("", 2), prompt_parts[:-1])
     return State(prompt, candidates, index, store, rng.random() < 0.5)
 
 
--- a/toucanrudder/forwarding/tests/test_restarts.py
+++ b/toucanrudder/forwarding/tests/test_restarts.py
@@ -57,7 +57,7 @@
 
     def keep(self):
         self.states.keep(self.registry.incarnations)
-        self.cache.keep(dict.fromkeys(self.registry.incarnations, 0))
+        self.cache.retain(dict.fromkeys(self.registry.incarnations, 0))
         self.has_read &= self.registry.incarnations
         self.failed &= self.registry.incarnations
 
@@ -128,7 +128,7 @@
     @stateful.rule(name=NAMES, back=strategies.integers(0, 2))
     def reads_a_part(self, name, back):
         incarnation = self.some_start(name, back).incarnation
-        self.cache.read(incarnation, "1", PARTS)
+        self.cache.add_parts(incarnation, "1", PARTS)
         self.has_read.add(incarnation)
 
     @stateful.rule(name=NAMES, back=strategies.integers(0, 2))
--- a/toucanrudder/forwarding/tests/test_speeds.py
+++ b/toucanrudder/forwarding/tests/test_speeds.py
@@ -30,7 +30,7 @@
 def chosen(candidates, speed, *holders):
     index = cache.CacheIndex()
     for name in holders:
-        index.read(name, "1", PARTS[:1])
+        index.add_parts(name, "1", PARTS[:1])
     return placing.choose_for_prompt(
         PROMPT, "", candidates, index, speed=speed, now_s=10.0
     )
