--- a/toucanrudder/bench/capacity/pure.py
+++ b/toucanrudder/bench/capacity/pure.py
@@ -100,7 +100,7 @@
             slots=32,
             weights={"m": 2},
         )
-        index.add_parts(upstream.incarnation, cache.salt("", 2), parts)
+        index.add_parts(upstream.incarnation, cache.make_salt("", 2), parts)
         state = upstream_states.UpstreamState(requests=number % 7)
         candidates.append(placing.Candidate(upstream, state))
     store = model.CacheStore("10.9.0.1:80", "z0")
--- a/toucanrudder/forwarding/attempt.py
+++ b/toucanrudder/forwarding/attempt.py
@@ -256,7 +256,7 @@
         return upstream.weights.get(self.prompt.model)
 
     def _salt(self, upstream: model.Upstream) -> str:
-        return cache.salt(self.course.wall(), self._version(upstream))
+        return cache.make_salt(self.course.wall(), self._version(upstream))
 
     def _patience_s(self) -> float | None:
         """Return how long the first part of an answer may take."""
--- a/toucanrudder/forwarding/cache.py
+++ b/toucanrudder/forwarding/cache.py
@@ -13,7 +13,7 @@
 MAX_PARTS = 4096
 
 
-def salt(wall: str, weights_version: int | None) -> str:
+def make_salt(wall: str, weights_version: int | None) -> str:
     """Return the text under which an engine keeps parts.
 
     The version makes it impossible that cache moves between engines with
@@ -21,7 +21,7 @@
 
     Examples
     --------
-    >>> salt("", 3), salt("acme", 3)
+    >>> make_salt("", 3), make_salt("acme", 3)
     ('3', '3.acme')
     """
     version = str(weights_version or 0)
--- a/toucanrudder/forwarding/placing.py
+++ b/toucanrudder/forwarding/placing.py
@@ -404,7 +404,7 @@
 def _salts(prompt: model.Prompt, wall: str, candidates) -> dict[int, str]:
     """Return the salts by version; None for weights that are not named."""
     versions = {each.upstream.weights.get(prompt.model) for each in candidates}
-    return {version: cache.salt(wall, version) for version in versions}
+    return {version: cache.make_salt(wall, version) for version in versions}
 
 
 def _held(prompt, wall, candidates, index) -> list[_Held]:
--- a/toucanrudder/forwarding/tests/test_cache_feed.py
+++ b/toucanrudder/forwarding/tests/test_cache_feed.py
@@ -187,7 +187,9 @@
             state.registry.has_weights("e1", "m", version)
             for number in range(50):
                 part = model.Part(f"{version}-{number}", 9)
-                state.cache.add_parts("e1", cache.salt("", version), (part,))
+                state.cache.add_parts(
+                    "e1", cache.make_salt("", version), (part,)
+                )
             await asyncio.sleep(cache_feed.LOOK_S)
         running.cancel()
         return state.cache._engines["e1"].salts
--- a/toucanrudder/forwarding/tests/test_placing_cost.py
+++ b/toucanrudder/forwarding/tests/test_placing_cost.py
@@ -79,11 +79,13 @@
             held = prompt_parts[: rng.randint(1, len(prompt_parts))]
             version = each.upstream.weights.get("m")
             index.add_parts(
-                each.upstream.incarnation, cache.salt("", version), held
+                each.upstream.incarnation, cache.make_salt("", version), held
             )
     store = rng.choice((None, STORE))
     if store is not None and rng.random() < 0.5:
-        index.add_parts(store.address, cache.salt("", 2), prompt_parts[:-1])
+        index.add_parts(
+            store.address, cache.make_salt("", 2), prompt_parts[:-1]
+        )
     return State(prompt, candidates, index, store, rng.random() < 0.5)
 
 
@@ -114,7 +116,7 @@
 
 def held_by(state, name, version):
     return state.index.cached_tokens(
-        name, cache.salt("", version), state.prompt.parts
+        name, cache.make_salt("", version), state.prompt.parts
     )
 
 
