--- a/toucanrudder/forwarding/cache_feed.py
+++ b/toucanrudder/forwarding/cache_feed.py
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen
-class Told:
+class CacheUpdate:
     """What an engine told of its cache.
 
     Parameters
@@ -73,21 +73,21 @@
 
 
 #: What tells of its cache.
-Source = model.Upstream | model.CacheStore
+CacheSource = model.Upstream | model.CacheStore
 
 
 @functools.singledispatch
-def identity(source: Source) -> str:
+def source_key(source: CacheSource) -> str:
     """Return the name under which a source's parts are believed."""
     raise TypeError(f"{type(source).__name__} keeps no parts")
 
 
-@identity.register
+@source_key.register
 def _(source: model.Upstream) -> str:
     return source.incarnation
 
 
-@identity.register
+@source_key.register
 def _(source: model.CacheStore) -> str:
     return source.address
 
@@ -97,8 +97,8 @@
 
     @abc.abstractmethod
     async def cache_events(
-        self, source: Source, since: int, *, wait_s: float
-    ) -> Told | None:
+        self, source: CacheSource, since: int, *, wait_s: float
+    ) -> CacheUpdate | None:
         """Return events after `since`; None if there was no answer."""
 
 
@@ -152,7 +152,7 @@
         self._forget_unused(engines, stores)
 
     def _adjust(
-        self, sources: tuple[Source, ...], routers: tuple[str, ...], ended
+        self, sources: tuple[CacheSource, ...], routers: tuple[str, ...], ended
     ) -> None:
         """Begin and end questions, so that the right routers ask."""
         asked = sources
@@ -161,9 +161,9 @@
                 each for each in sources if isinstance(each, model.CacheStore)
             )
         wanted = {
-            identity(each): each
+            source_key(each): each
             for each in asked
-            if self._is_asker(identity(each), routers)
+            if self._is_asker(source_key(each), routers)
         }
         for name in set(self._asking) - set(wanted):
             self._asking.pop(name).cancel()
@@ -218,7 +218,7 @@
             return True
         return self._state.name in _askers(name, routers)
 
-    async def _ask(self, source: Source) -> None:
+    async def _ask(self, source: CacheSource) -> None:
         since = 0
         while True:
             told = await self._dialect.cache_events(
@@ -235,7 +235,7 @@
                 continue
             since = told.next
             self._state.cache.apply_events(
-                identity(source), told.epoch, told.events
+                source_key(source), told.epoch, told.events
             )
 
 
@@ -247,13 +247,13 @@
 
 
 @functools.singledispatch
-def _is_of(source: Source, told: Told) -> bool:
+def _is_of(source: CacheSource, told: CacheUpdate) -> bool:
     """Whether the words come from this start of the source."""
     return True
 
 
 @_is_of.register
-def _(source: model.Upstream, told: Told) -> bool:
+def _(source: model.Upstream, told: CacheUpdate) -> bool:
     return source.says(told.born_ms)
 
 
@@ -268,7 +268,7 @@
 
 @functools.singledispatch
 def _note_health(
-    source: Source, state: states.ForwardingState, answered: bool
+    source: CacheSource, state: states.ForwardingState, answered: bool
 ) -> None:
     """Note whether a source answers; an engine's requests tell more."""
 
--- a/toucanrudder/forwarding/tests/test_cache_feed.py
+++ b/toucanrudder/forwarding/tests/test_cache_feed.py
@@ -28,14 +28,14 @@
 
     async def cache_events(self, source, since, *, wait_s):
         await asyncio.sleep(wait_s)
-        name = cache_feed.identity(source)
+        name = cache_feed.source_key(source)
         if name == self.faulty and clock.now_s() >= FAULT_S and self.fault:
             fault, self.fault = self.fault, None
             return fault()
         events = ()
         if clock.now_s() > FAULT_S:
             events = (cache.Event("1", PART.identity, PART.tokens, True),)
-        return cache_feed.Told(1, since + 1, events)
+        return cache_feed.CacheUpdate(1, since + 1, events)
 
 
 def _broken():
@@ -47,7 +47,7 @@
 
 
 def _strange():
-    return cache_feed.Told(1, 1, (None,))
+    return cache_feed.CacheUpdate(1, 1, (None,))
 
 
 FAULTS = [
@@ -139,9 +139,9 @@
         self.asked = collections.Counter()
 
     async def cache_events(self, source, since, *, wait_s):
-        self.asked[cache_feed.identity(source)] += 1
+        self.asked[cache_feed.source_key(source)] += 1
         await asyncio.sleep(wait_s)
-        return cache_feed.Told(1, since + 1, ())
+        return cache_feed.CacheUpdate(1, since + 1, ())
 
 
 GROWTH = [
--- a/toucanrudder/platform/orders.py
+++ b/toucanrudder/platform/orders.py
@@ -102,8 +102,8 @@
         return status in (200, 202)
 
     async def cache_events(
-        self, source: cache_feed.Source, since: int, *, wait_s: float
-    ) -> cache_feed.Told | None:
+        self, source: cache_feed.CacheSource, since: int, *, wait_s: float
+    ) -> cache_feed.CacheUpdate | None:
         """Return events after `since`; None if there was no answer."""
         path = f"/kv-events?since={since}"
         wait = (b"Wait-Ms", str(round(wait_s * 1000)).encode())
@@ -113,7 +113,7 @@
         body = _read(records.CacheNews, found, source)
         if body is None:
             return None
-        return cache_feed.Told(
+        return cache_feed.CacheUpdate(
             born_ms=body.born,
             epoch=body.boot_epoch,
             next=body.next,
@@ -127,7 +127,7 @@
         self,
         method: bytes,
         path: str,
-        peer: cache_feed.Source,
+        peer: cache_feed.CacheSource,
         timeout_s: float,
         *extra: tuple[bytes, bytes],
         body: dict | None = None,
@@ -153,7 +153,7 @@
 def _read(
     made: type[typed.Made],
     answer: calls.Answer | None,
-    source: cache_feed.Source,
+    source: cache_feed.CacheSource,
 ) -> typed.Made | None:
     if answer is None or answer.status != 200:
         return None
@@ -163,7 +163,7 @@
 
 
 @functools.singledispatch
-def _expected(peer: cache_feed.Source) -> message.Headers:
+def _expected(peer: cache_feed.CacheSource) -> message.Headers:
     """Return the field that keeps a call from another process there."""
     return ()
 
--- a/toucanrudder/testing/virtual/sites.py
+++ b/toucanrudder/testing/virtual/sites.py
@@ -155,11 +155,11 @@
         return bool(taken)
 
     async def cache_events(
-        self, source: cache_feed.Source, since: int, *, wait_s: float
-    ) -> cache_feed.Told | None:
+        self, source: cache_feed.CacheSource, since: int, *, wait_s: float
+    ) -> cache_feed.CacheUpdate | None:
         """Tell of no events."""
         await asyncio.sleep(wait_s)
-        return cache_feed.Told(0, since, ())
+        return cache_feed.CacheUpdate(0, since, ())
 
 
 def _unreachable() -> aio.AioRpcError:
