--- a/toucanrudder/forwarding/attempt.py
+++ b/toucanrudder/forwarding/attempt.py
@@ -360,7 +360,7 @@
         """Learn from the first event: the prompt has been read."""
         if not self.choice.copied_tokens:
             # A copy takes time of its own.
-            self.state.reading.read(
+            self.state.reading.record_prefill(
                 self.course.service,
                 unread_tokens,
                 clock.now_s() - self.sent_at_s,
--- a/toucanrudder/forwarding/placing.py
+++ b/toucanrudder/forwarding/placing.py
@@ -79,7 +79,7 @@
 ZONE_SHARE = 0.17
 
 
-USUAL_SPEEDS = speeds.Speeds()
+USUAL_SPEEDS = speeds.EngineSpeeds()
 
 
 @attrs.frozen
@@ -212,7 +212,7 @@
     engine: model.Engine,
     candidates: Sequence[Candidate],
     now_s: float,
-    speed: speeds.Speeds = USUAL_SPEEDS,
+    speed: speeds.EngineSpeeds = USUAL_SPEEDS,
 ) -> model.Upstream | None:
     """Return the engine that is to hold a copy of the run's memory.
 
@@ -284,7 +284,7 @@
     index: cache.CacheIndex,
     *,
     store: model.CacheStore | None = None,
-    speed: speeds.Speeds = USUAL_SPEEDS,
+    speed: speeds.EngineSpeeds = USUAL_SPEEDS,
     engines_report_cache: bool = False,
     now_s: float,
 ) -> Choice:
@@ -302,7 +302,7 @@
         What engines and stores are believed to hold.
     store : model.CacheStore or None
         Where the prompt's shared parts may be kept.
-    speed : speeds.Speeds
+    speed : speeds.EngineSpeeds
         What the engines do in a second.
     engines_report_cache : bool
         Whether engines tell this router what they drop.
@@ -462,7 +462,7 @@
 def _copy_from_engines(
     copying: list[_Held],
     held: list[_Held],
-    speed: speeds.Speeds,
+    speed: speeds.EngineSpeeds,
     now_s: float,
 ) -> None:
     """Note for each engine that copies the one that holds most for it."""
@@ -495,7 +495,7 @@
     wall: str,
     store: model.CacheStore | None,
     index: cache.CacheIndex,
-    speed: speeds.Speeds,
+    speed: speeds.EngineSpeeds,
 ) -> None:
     """Note the store instead for the engines for which it holds more."""
     if store is None:
@@ -524,7 +524,9 @@
         each.copy_cost = costs[store.zone == upstream.zone]
 
 
-def _engine_cost(each: Candidate, speed: speeds.Speeds, now_s: float) -> float:
+def _engine_cost(
+    each: Candidate, speed: speeds.EngineSpeeds, now_s: float
+) -> float:
     state = each.state
     running = each.requests(now_s)
     cost_s = RUNNING_S * running
--- a/toucanrudder/forwarding/speeds.py
+++ b/toucanrudder/forwarding/speeds.py
@@ -45,16 +45,16 @@
 PRIOR_STORE_S = 2.7e-6
 
 
-class ReadingSpeeds:
+class PrefillSpeeds:
     """Reading speeds of the services' engines, from answers.
 
     Examples
     --------
-    >>> speeds = ReadingSpeeds()
+    >>> speeds = PrefillSpeeds()
     >>> speeds.tokens_per_s("s")
     60000.0
     >>> for _ in range(LEAST_SAMPLES):
-    ...     speeds.read("s", unread_tokens=8_000, took_s=0.4)
+    ...     speeds.record_prefill("s", unread_tokens=8_000, took_s=0.4)
     >>> speeds.tokens_per_s("s")
     20000.0
     """
@@ -63,7 +63,9 @@
         self._samples: dict[str, collections.deque[float]] = {}
         self._tokens_per_s: dict[str, float] = {}
 
-    def read(self, service: str, unread_tokens: int, took_s: float) -> None:
+    def record_prefill(
+        self, service: str, unread_tokens: int, took_s: float
+    ) -> None:
         """Note how long a prompt took to its first event.
 
         Parameters
@@ -91,7 +93,7 @@
 
 
 @attrs.frozen
-class Speeds:
+class EngineSpeeds:
     """What one service's engines do in a second.
 
     Parameters
@@ -117,7 +119,7 @@
 
         Examples
         --------
-        >>> round(Speeds().copy_cost(same_zone=True), 3)
+        >>> round(EngineSpeeds().copy_cost(same_zone=True), 3)
         0.115
         """
         factor = 1.0 if same_zone else ZONE_FACTOR
@@ -129,18 +131,18 @@
         return self.tokens(QUEUE_FACTOR * factor * self.store_token_s)
 
 
-def speeds_of(
+def engine_speeds(
     engine: model.Engine | None,
     store: model.CacheStore | None,
     read_tokens_per_s: float,
-) -> Speeds:
+) -> EngineSpeeds:
     """Return the speeds that follow from the configuration.
 
     Examples
     --------
     >>> wide = model.Engine(64, 90_000, token_bytes=163_840,
     ...     link_bits_per_s=2.2e12)
-    >>> round(speeds_of(wide, None, 44_000.0).copy_token_s * 1e6, 3)
+    >>> round(engine_speeds(wide, None, 44_000.0).copy_token_s * 1e6, 3)
     0.596
     """
     token_bits = 8 * engine.token_bytes if engine else 0.0
@@ -150,7 +152,7 @@
             return prior_s
         return token_bits / link.link_bits_per_s
 
-    return Speeds(
+    return EngineSpeeds(
         read_tokens_per_s,
         copy_token_s=token_s(engine, PRIOR_COPY_S),
         store_token_s=token_s(store, PRIOR_STORE_S),
--- a/toucanrudder/forwarding/state.py
+++ b/toucanrudder/forwarding/state.py
@@ -74,7 +74,7 @@
     peer_loads: peers_loads.PeerLoads = attrs.field(
         factory=lambda: peers_loads.PeerLoads(PEER_LOADS_KEPT_S)
     )
-    reading: speeds.ReadingSpeeds = attrs.field(factory=speeds.ReadingSpeeds)
+    reading: speeds.PrefillSpeeds = attrs.field(factory=speeds.PrefillSpeeds)
     breaks: poison.BreakCounts = attrs.field(factory=poison.BreakCounts)
     ask_engine: Callable[
         [model.Upstream], Awaitable[rollout.EngineReport | None]
@@ -187,10 +187,10 @@
 
     def speed_of(
         self, service: str, store: model.CacheStore | None
-    ) -> speeds.Speeds:
+    ) -> speeds.EngineSpeeds:
         """Return what a service's engines do in a second."""
         found = self.configuration.services.get(service)
-        return speeds.speeds_of(
+        return speeds.engine_speeds(
             found.engine if found else None,
             store,
             self.reading.tokens_per_s(service),
--- a/toucanrudder/forwarding/tests/test_placing_cost.py
+++ b/toucanrudder/forwarding/tests/test_placing_cost.py
@@ -172,7 +172,7 @@
 
 
 def plain_choice(state):
-    speed, prompt = speeds.Speeds(), state.prompt
+    speed, prompt = speeds.EngineSpeeds(), state.prompt
     names = [each.upstream.incarnation for each in state.candidates]
     if prompt.shared:
         key = stores.rendezvous_key(prompt, "")
--- a/toucanrudder/forwarding/tests/test_speeds.py
+++ b/toucanrudder/forwarding/tests/test_speeds.py
@@ -53,7 +53,7 @@
     # more than the answer gains.
     old = candidate("i1", weights_age_s=1.5)
     new = candidate("i2", version=2)
-    choice = chosen([old, new], speeds.Speeds(tokens_per_s), "i1")
+    choice = chosen([old, new], speeds.EngineSpeeds(tokens_per_s), "i1")
     assert choice.upstream.incarnation == name
 
 
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize(("factor", "name"), LINKS.values(), ids=LINKS.keys())
 def test_over_slow_links_prompts_stay_where_their_parts_are(factor, name):
-    speed = speeds.Speeds(copy_token_s=factor * speeds.PRIOR_COPY_S)
+    speed = speeds.EngineSpeeds(copy_token_s=factor * speeds.PRIOR_COPY_S)
     holder = candidate("i1", unread=4_000)
     choice = chosen([holder, candidate("i2")], speed, "i1")
     assert choice.upstream.incarnation == name
@@ -75,19 +75,19 @@
     # Most prompts wait a little before they are read, a few were cached
     # though nobody knew: the speed is found within a third all the same.
     rng = random.Random(3)
-    learned = speeds.ReadingSpeeds()
+    learned = speeds.PrefillSpeeds()
     for _ in range(60):
         unread = rng.randint(2_500, 12_000)
         share_read = 0.4 if rng.random() < 0.08 else 1.0
         waited_s = rng.expovariate(4.0) if rng.random() < 0.5 else 0.0
         took_s = share_read * unread / tokens_per_s + waited_s + 0.004
-        learned.read("s", unread, took_s)
+        learned.record_prefill("s", unread, took_s)
     found = learned.tokens_per_s("s")
     assert found == pytest.approx(tokens_per_s, rel=1 / 3)
 
 
 def test_short_prompts_say_nothing_of_the_speed():
-    learned = speeds.ReadingSpeeds()
+    learned = speeds.PrefillSpeeds()
     for _ in range(50):
-        learned.read("s", speeds.LEAST_TOKENS - 1, 1.0)
+        learned.record_prefill("s", speeds.LEAST_TOKENS - 1, 1.0)
     assert learned.tokens_per_s("s") == speeds.PRIOR_TOKENS_PER_S
