--- a/toucanrudder/forwarding/capping.py
+++ b/toucanrudder/forwarding/capping.py
@@ -25,7 +25,7 @@
 
 #: Longest wait for an owner's answer: round trips between zones, and an
 #: owner that is busy for a moment.
-ASK_S = 0.25
+OWNER_TIMEOUT_S = 0.25
 
 #: For how long an owner that gave no answer is not asked.
 SHUN_S = 0.5
--- a/toucanrudder/forwarding/daemon.py
+++ b/toucanrudder/forwarding/daemon.py
@@ -157,7 +157,7 @@
             members=self.following.cap_members,
             is_settled=self.following.is_settled,
             ask=functools.partial(
-                self.peering.client.use_cap, deadline_s=capping.ASK_S
+                self.peering.client.use_cap, deadline_s=capping.OWNER_TIMEOUT_S
             ),
             organisation_of=self.state.organisation,
             rng=self.rng,
