--- a/toucanrudder/forwarding/daemon.py
+++ b/toucanrudder/forwarding/daemon.py
@@ -107,7 +107,7 @@
             name=conf.router.name,
             zone=conf.router.zone,
             rng=self.rng,
-            budget_bounds=retry_window.BudgetBounds(
+            budget_bounds=retry_window.RetryBounds(
                 conf.retries.ratio, conf.retries.slack, conf.retries.window_s
             ),
             pace=rollout.Pace(conf.weights.bound_ms / 1000),
--- a/toucanrudder/forwarding/retry_window.py
+++ b/toucanrudder/forwarding/retry_window.py
@@ -7,7 +7,7 @@
 
 
 @attrs.frozen
-class BudgetBounds:
+class RetryBounds:
     """Bounds of the arrivals that repeat a request, over all routers.
 
     Parameters
@@ -50,12 +50,12 @@
 
     Parameters
     ----------
-    bounds : BudgetBounds
+    bounds : RetryBounds
         Over all routers.
 
     Examples
     --------
-    >>> window = RetryWindow(BudgetBounds(0.2, 0.0, 10.0))
+    >>> window = RetryWindow(RetryBounds(0.2, 0.0, 10.0))
     >>> for _ in range(100):
     ...     window.request(0.0)
     >>> granted = [window.spend(1.0, routers=1) for _ in range(20)]
@@ -63,7 +63,7 @@
     16
     """
 
-    bounds: BudgetBounds
+    bounds: RetryBounds
     _requests: collections.Counter = attrs.field(factory=collections.Counter)
     _spent: collections.Counter = attrs.field(factory=collections.Counter)
     _began_s: float | None = None
--- a/toucanrudder/forwarding/state.py
+++ b/toucanrudder/forwarding/state.py
@@ -49,7 +49,7 @@
         This router and its availability zone.
     rng : random.Random
         For splits and ties.
-    budget_bounds : retry_window.BudgetBounds
+    budget_bounds : retry_window.RetryBounds
         Bounds of retries over all routers.
     live_routers : callable
         Number of live routers, this one included.
@@ -60,7 +60,7 @@
     name: str
     zone: str
     rng: random.Random
-    budget_bounds: retry_window.BudgetBounds
+    budget_bounds: retry_window.RetryBounds
     live_routers: Callable[[], int] = lambda: 1
     pace: rollout.Pace = rollout.DEFAULT_PACE
     registry: registries.Registry = attrs.field(factory=registries.Registry)
--- a/toucanrudder/forwarding/tests/test_cache_feed.py
+++ b/toucanrudder/forwarding/tests/test_cache_feed.py
@@ -59,7 +59,7 @@
 
 def _controller(fault, faulty="e1", routers=lambda: ["r0"]):
     rng = random.Random(1)
-    state = states.ForwardingState("r0", "", rng, retry_window.BudgetBounds())
+    state = states.ForwardingState("r0", "", rng, retry_window.RetryBounds())
     service = model.Service("s", model.Engine(64, 100_000))
     state.offer(model.Configuration(1, services={"s": service}))
     for name in ("e1", "e2"):
--- a/toucanrudder/forwarding/tests/test_orders.py
+++ b/toucanrudder/forwarding/tests/test_orders.py
@@ -86,7 +86,7 @@
             f"r{place}",
             "",
             rng,
-            retry_window.BudgetBounds(),
+            retry_window.RetryBounds(),
             live_routers=lambda: self.routers,
         )
         service = model.Service("s", model.Engine(64, 100_000))
--- a/toucanrudder/forwarding/tests/test_retry_window.py
+++ b/toucanrudder/forwarding/tests/test_retry_window.py
@@ -7,7 +7,7 @@
 
 from toucanrudder.forwarding import retry_window
 
-BOUNDS = retry_window.BudgetBounds(0.2, 56.0, 10.0)
+BOUNDS = retry_window.RetryBounds(0.2, 56.0, 10.0)
 
 
 def number(times, after_s, until_s):
@@ -72,7 +72,7 @@
     # a second.  If none of them ever had a whole retry, each request that
     # an engine refuses would be lost.
     window = retry_window.RetryWindow(
-        retry_window.BudgetBounds(0.2, 204.0, 10.0)
+        retry_window.RetryBounds(0.2, 204.0, 10.0)
     )
     for tick in range(60):
         window.request(tick / 6)
