--- a/toucanrudder/forwarding/course.py
+++ b/toucanrudder/forwarding/course.py
@@ -107,7 +107,7 @@
             self.route, self.call
         )
         self.last_event = self.call.resume_after
-        self.state.retries_to(self.service).request(now_s)
+        self.state.retries_to(self.service).record_request(now_s)
         try:
             async with asyncio.timeout(self.deadline_s - now_s):
                 await self._tried()
@@ -324,7 +324,7 @@
                 may_have_run=bool(self.progress.may_have_run),
                 events=self.progress.events,
                 next_step=step.value,
-                budget_left=self.state.retries_to(self.service).left(
+                budget_left=self.state.retries_to(self.service).remaining(
                     clock.now_s(), self.state.live_routers()
                 ),
                 carried_requests=evidence.carried_requests,
--- a/toucanrudder/forwarding/retry_window.py
+++ b/toucanrudder/forwarding/retry_window.py
@@ -57,7 +57,7 @@
     --------
     >>> window = RetryWindow(RetryBounds(0.2, 0.0, 10.0))
     >>> for _ in range(100):
-    ...     window.request(0.0)
+    ...     window.record_request(0.0)
     >>> granted = [window.spend(1.0, routers=1) for _ in range(20)]
     >>> granted.count(True)
     16
@@ -71,7 +71,7 @@
     def _slot(self, now_s: float) -> int:
         return math.floor(now_s * SLOTS / self.bounds.window_s)
 
-    def request(self, now_s: float) -> None:
+    def record_request(self, now_s: float) -> None:
         """Note a caller's request to the service (not a retry)."""
         self._note(self._requests, now_s)
 
@@ -84,7 +84,7 @@
                 del counted[old]
         counted[slot] += 1
 
-    def left(self, now_s: float, routers: int) -> float:
+    def remaining(self, now_s: float, routers: int) -> float:
         """Return the retries that may still be made now.
 
         Of requests only the slots that lie wholly in the window count, of
@@ -126,7 +126,7 @@
         bool
             False when the share is spent; the retry must not be made.
         """
-        if self.left(now_s, routers) < 1.0:
+        if self.remaining(now_s, routers) < 1.0:
             return False
         self._note(self._spent, now_s)
         return True
--- a/toucanrudder/forwarding/tests/test_retry_window.py
+++ b/toucanrudder/forwarding/tests/test_retry_window.py
@@ -39,7 +39,7 @@
         rate = rng.choice([0, 5, 20]) if step % 40 == 0 else rate
         for _ in range(rate):
             window = windows[int(routers * rng.random() ** 2)]
-            window.request(now_s)
+            window.record_request(now_s)
             requests.append(now_s)
             if step // 100 % 2 and window.spend(now_s, routers):
                 retries.append(now_s)
@@ -52,7 +52,7 @@
     window = retry_window.RetryWindow(BOUNDS)
     for tick in range(200):
         for _ in range(per_router_s // 10):
-            window.request(tick * 0.1)
+            window.record_request(tick * 0.1)
     return window
 
 
@@ -75,7 +75,7 @@
         retry_window.RetryBounds(0.2, 204.0, 10.0)
     )
     for tick in range(60):
-        window.request(tick / 6)
+        window.record_request(tick / 6)
     assert window.spend(10.0, routers=82)
 
 
@@ -83,9 +83,9 @@
     # All routers are killed and start again: those before them may have
     # used their share in the same window.
     window = retry_window.RetryWindow(BOUNDS)
-    window.request(5.0)
+    window.record_request(5.0)
     granted = [window.spend(5.0, routers=2) for _ in range(30)]
     assert granted.count(True) <= BOUNDS.slack / 2 / 2
     later = retry_window.RetryWindow(BOUNDS)
-    later.request(5.0)
-    assert later.left(15.0, 2) > later.left(5.0, 2)
+    later.record_request(5.0)
+    assert later.remaining(15.0, 2) > later.remaining(5.0, 2)
