--- a/toucanrudder/forwarding/orders.py
+++ b/toucanrudder/forwarding/orders.py
@@ -93,7 +93,7 @@
         self._tasks: set[asyncio.Task] = set()
         self._doubted: set[str] = set()
         self._turn: turns.Turn | None = None
-        self._answers = turns.Answers()
+        self._answers = turns.EngineAnswers()
         self._given_up: set[tuple[str, str, int]] = set()
         self._given_up_s = float("-inf")
         self._noted_s: dict[str, float] = {}
@@ -153,7 +153,10 @@
             await self._end_turn(ending, left, now_s)
 
     async def _end_turn(
-        self, ending: turns.Ending, left: list[rollout.LoadTask], now_s: float
+        self,
+        ending: turns.TurnEndReason,
+        left: list[rollout.LoadTask],
+        now_s: float,
     ) -> None:
         lease = self._lease.current_lease(now_s)
         decisions.record(
@@ -224,7 +227,7 @@
         if not self._may_try_again(left, now_s):
             return False
         waited_s = now_s - self._undone_since_s
-        return waited_s >= turns.waits_s(
+        return waited_s >= turns.start_delay_s(
             self._place_in_line(),
             IN_LINE_S,
             self._state.registry.overdue_s(now_s),
--- a/toucanrudder/forwarding/turns.py
+++ b/toucanrudder/forwarding/turns.py
@@ -27,7 +27,7 @@
 OVERDUE_S = 2.0
 
 
-class Ending(enum.Enum):
+class TurnEndReason(enum.Enum):
     """Why a router gives its turn up."""
 
     NO_ANSWER = "no_answer"
@@ -36,7 +36,7 @@
 
 
 @attrs.define
-class Answers:
+class EngineAnswers:
     """Which engines answered this router's questions, over all its turns.
 
     Kept from turn to turn.  Failure: each turn begins with the engines that
@@ -45,7 +45,7 @@
 
     Examples
     --------
-    >>> answers = Answers()
+    >>> answers = EngineAnswers()
     >>> answers.unanswered("i1", 1.0); answers.unanswered("i1", 3.0)
     >>> answers.silent_s("i1", 4.0), answers.stuck(4.0)
     (3.0, {'i1': 3.0})
@@ -126,17 +126,17 @@
     def ending(
         self,
         left: Collection[str],
-        answers: Answers,
+        answers: EngineAnswers,
         overdue_s: float,
         now_s: float,
-    ) -> Ending | None:
+    ) -> TurnEndReason | None:
         """Return why the turn ends now, if it does.
 
         Parameters
         ----------
         left : collection of str
             Engines that lack weights.
-        answers : Answers
+        answers : EngineAnswers
             What came of the questions.
         overdue_s : float
             Time by which the registry's next word is late.
@@ -145,22 +145,22 @@
 
         Examples
         --------
-        >>> answers = Answers()
+        >>> answers = EngineAnswers()
         >>> answers.unanswered("i2", 1.0)
         >>> turn = Turn(first_asked_s=0.8)
         >>> turn.ending(["i2"], answers, 0.0, now_s=2.0)
         >>> turn.ending(["i2"], answers, 0.0, now_s=2.4)
-        <Ending.NO_ANSWER: 'no_answer'>
+        <TurnEndReason.NO_ANSWER: 'no_answer'>
         >>> turn.has_heard = True
         >>> turn.ending(["i2"], answers, 0.0, now_s=2.4)
         >>> turn.ending(["i2"], answers, 0.0, now_s=6.0)
-        <Ending.SILENT_ENGINE: 'silent_engine'>
+        <TurnEndReason.SILENT_ENGINE: 'silent_engine'>
         >>> turn.ending([], answers, 0.0, now_s=6.0)
         >>> turn.ending([], answers, 9.0, now_s=6.0)
-        <Ending.OLD_LIST: 'old_list'>
+        <TurnEndReason.OLD_LIST: 'old_list'>
         """
         if self.has_new_list and overdue_s > OVERDUE_S:
-            return Ending.OLD_LIST
+            return TurnEndReason.OLD_LIST
         if self.first_asked_s is None:
             return None
         # What was silent in an earlier turn is asked in this one first.
@@ -169,13 +169,13 @@
             (answers.silent_s(name, now_s) for name in left), default=0.0
         )
         if min(silent_s, asked_for_s) > SOME_SHARE * self.pace.bound_s:
-            return Ending.SILENT_ENGINE
+            return TurnEndReason.SILENT_ENGINE
         if silent_s > 0 and not self.has_heard and asked_for_s > NOTHING_S:
-            return Ending.NO_ANSWER
+            return TurnEndReason.NO_ANSWER
         return None
 
 
-def waits_s(
+def start_delay_s(
     place: int, each_s: float, overdue_s: float, last_s: float
 ) -> float:
     """Return how long a router waits before it begins a turn.
@@ -195,7 +195,7 @@
 
     Examples
     --------
-    >>> waits_s(2, 1.0, 0.5, 3.0), waits_s(0, 1.0, 60.0, 3.0)
+    >>> start_delay_s(2, 1.0, 0.5, 3.0), start_delay_s(0, 1.0, 60.0, 3.0)
     (2.0, 3.0)
     """
     return place * each_s + (last_s if overdue_s > OVERDUE_S else 0.0)
