--- a/toucanrudder/forwarding/cache_feed.py
+++ b/toucanrudder/forwarding/cache_feed.py
@@ -284,6 +284,6 @@
             decisions.PartStoreSeen(address=source.address, change=change)
         )
     if answered:
-        health.answered(source.address)
+        health.record_answer(source.address)
     else:
-        health.failed(source.address, clock.now_s())
+        health.record_failure(source.address, clock.now_s())
--- a/toucanrudder/forwarding/peering.py
+++ b/toucanrudder/forwarding/peering.py
@@ -66,7 +66,7 @@
             for name, until_s in self._avoided_until_s.items()
             if until_s > now_s
         }
-        stores = self.state.store_health.seen_down(now_s)
+        stores = self.state.store_health.remaining_down_s(now_s)
         return tuple(
             messages.Avoided(name, until_s - now_s)
             for name, until_s in self._avoided_until_s.items()
@@ -101,7 +101,9 @@
         addresses = {each.address for each in self.state.cache_stores()}
         for each in heartbeat.avoided:
             if each.upstream in addresses:
-                self.state.store_health.down(each.upstream, now_s + each.for_s)
+                self.state.store_health.mark_down(
+                    each.upstream, now_s + each.for_s
+                )
 
     def weights(self) -> tuple[messages.Weights, ...]:
         """Return the newest weights that this router knows of."""
--- a/toucanrudder/forwarding/stores.py
+++ b/toucanrudder/forwarding/stores.py
@@ -31,38 +31,38 @@
     --------
     >>> health = StoreHealth()
     >>> store = model.CacheStore("10.0.0.1:80")
-    >>> health.failed(store.address, 5.0)
+    >>> health.record_failure(store.address, 5.0)
     >>> health.usable([store], 6.0), health.usable([store], 8.0) == [store]
     ([], True)
-    >>> health.seen_down(6.0)
+    >>> health.remaining_down_s(6.0)
     {}
-    >>> health.failed(store.address, 6.0)
-    >>> health.seen_down(6.5)
+    >>> health.record_failure(store.address, 6.0)
+    >>> health.remaining_down_s(6.5)
     {'10.0.0.1:80': 1.5}
     """
 
     _failures: dict[str, int] = attrs.field(factory=dict)
     _down_until_s: dict[str, float] = attrs.field(factory=dict)
 
-    def answered(self, address: str) -> None:
+    def record_answer(self, address: str) -> None:
         """Note that a store has answered."""
         self._failures.pop(address, None)
         self._down_until_s.pop(address, None)
 
-    def failed(self, address: str, now_s: float) -> None:
+    def record_failure(self, address: str, now_s: float) -> None:
         """Note a question without an answer."""
         self._failures[address] = self._failures.get(address, 0) + 1
-        self.down(address, now_s + DOWN_S)
+        self.mark_down(address, now_s + DOWN_S)
 
     def is_failing(self, address: str) -> bool:
         """Whether the newest question had no answer."""
         return address in self._failures
 
-    def down(self, address: str, until_s: float) -> None:
+    def mark_down(self, address: str, until_s: float) -> None:
         """Note until when a store is not to be used."""
         self._down_until_s[address] = until_s
 
-    def seen_down(self, now_s: float) -> dict[str, float]:
+    def remaining_down_s(self, now_s: float) -> dict[str, float]:
         """Return for how long stores that failed here are to be left."""
         return {
             address: until_s - now_s
