--- a/toucanrudder/forwarding/course.py
+++ b/toucanrudder/forwarding/course.py
@@ -390,7 +390,7 @@
         else:
             self.state.states.record_failure(name, now_s)
         if ended is tries.Ended.BROKEN:
-            self.state.breaks.broke(
+            self.state.breaks.record_crash(
                 self._fingerprint(),
                 upstream,
                 time.time(),
--- a/toucanrudder/forwarding/poison.py
+++ b/toucanrudder/forwarding/poison.py
@@ -14,7 +14,7 @@
 #: Upstream processes that may break off under one request.  A caller's
 #: tries and resumes of a harmless one meet two crashes at the most, even
 #: when a third of all engines crash at once and again.
-MOST_BREAKS = 3
+MAX_CRASHES = 3
 
 
 def fingerprint(organisation: str, target: bytes, body: bytes) -> str:
@@ -29,15 +29,15 @@
     return quarantine.fingerprint(organisation, digest)
 
 
-class BreakCounts:
+class CrashCounts:
     """Breaks by request, of this router and, by merging, of all others.
 
     Examples
     --------
-    >>> counts = BreakCounts()
+    >>> counts = CrashCounts()
     >>> for number in range(3):
     ...     engine = model.Upstream(f"i{number}", "s", "10.0.0.1:80")
-    ...     counts.broke("f", engine, wall_s=10.0)
+    ...     counts.record_crash("f", engine, wall_s=10.0)
     >>> counts.is_poison("f"), counts.is_poison("g")
     (True, False)
     """
@@ -56,7 +56,7 @@
         """Requests under which something has broken off."""
         return set(self._processes)
 
-    def broke(
+    def record_crash(
         self, fingerprint_: str, upstream: model.Upstream, wall_s: float
     ) -> None:
         """Note that an upstream broke off while it ran the request."""
@@ -83,4 +83,4 @@
     def is_poison(self, fingerprint_: str) -> bool:
         """Whether the request is to be sent nowhere any more."""
         found = self._processes.get(fingerprint_, ())
-        return len(found) >= MOST_BREAKS
+        return len(found) >= MAX_CRASHES
--- a/toucanrudder/forwarding/state.py
+++ b/toucanrudder/forwarding/state.py
@@ -75,7 +75,7 @@
         factory=lambda: peers_loads.PeerLoads(PEER_LOADS_KEPT_S)
     )
     reading: speeds.PrefillSpeeds = attrs.field(factory=speeds.PrefillSpeeds)
-    breaks: poison.BreakCounts = attrs.field(factory=poison.BreakCounts)
+    breaks: poison.CrashCounts = attrs.field(factory=poison.CrashCounts)
     ask_engine: Callable[
         [model.Upstream], Awaitable[rollout.EngineReport | None]
     ] = _not_asked
--- a/toucanrudder/platform/tests/test_platform.py
+++ b/toucanrudder/platform/tests/test_platform.py
@@ -822,10 +822,10 @@
     first = await site.router("r1")
     second = await site.router("r2", first.peering.node.address)
     await until(lambda: second.state.live_routers() == 2)
-    for _ in range(poison.MOST_BREAKS):
+    for _ in range(poison.MAX_CRASHES):
         await asked(first, b"/once/x", body=b"poison", method=b"POST")
     runs = sum(len(each.runs) for each in engines)
-    assert runs == poison.MOST_BREAKS
+    assert runs == poison.MAX_CRASHES
     same = second.state.breaks
     await until(lambda: not same.is_empty)
     for router in (first, second):
