--- a/toucanrudder/forwarding/rollout.py
+++ b/toucanrudder/forwarding/rollout.py
@@ -128,8 +128,10 @@
         False
         >>> EngineReport({}, events={"r": 9}).has_lost_events("r", 5)
         True
-        >>> EngineReport({}).has_lost_events("r", 5), EngineReport({}, waiting=1).has_lost_events("r", 5)
-        (True, False)
+        >>> EngineReport({}).has_lost_events("r", 5)
+        True
+        >>> EngineReport({}, waiting=1).has_lost_events("r", 5)
+        False
         """
         made = self.events.get(request_id)
         if made is None:
@@ -188,8 +190,8 @@
     Examples
     --------
     >>> quiet = EngineReport({}, running=9, memory_share=0.3)
-    >>> waits_for_requests(quiet, 0.2, 1.0), waits_for_requests(quiet, 1.1, 1.0)
-    (True, False)
+    >>> [waits_for_requests(quiet, waited_s, 1.0) for waited_s in (0.2, 1.1)]
+    [True, False]
     >>> waits_for_requests(attrs.evolve(quiet, memory_share=0.8), 0.2, 1.0)
     False
     """
@@ -292,8 +294,10 @@
 
     Examples
     --------
-    >>> max_concurrent_loads(9, oldest_s=0.0), max_concurrent_loads(9, oldest_s=3.0), max_concurrent_loads(1, 0.0)
-    (2, 3, 1)
+    >>> [max_concurrent_loads(9, oldest_s) for oldest_s in (0.0, 3.0)]
+    [2, 3]
+    >>> max_concurrent_loads(1, 0.0)
+    1
     """
     share = URGENT_SHARE if oldest_s > pace.urgent_s else LOADING_SHARE
     return max(1, math.ceil(engines * share))
@@ -334,7 +338,10 @@
     Examples
     --------
     >>> engines = [model.Upstream(f"i{n}", "s", "") for n in range(10)]
-    >>> given = {"i1": PendingOrder(2, 0.0), "i2": PendingOrder(2, 0.0, has_place=False)}
+    >>> given = {
+    ...     "i1": PendingOrder(2, 0.0),
+    ...     "i2": PendingOrder(2, 0.0, has_place=False),
+    ... }
     >>> free_slots(engines, given, 0.0, now_s=0.5)
     1
     """
