--- a/toucanrudder/platform/tests/test_platform.py
+++ b/toucanrudder/platform/tests/test_platform.py
@@ -938,7 +938,7 @@
     router = await site.router()
     registry, believed = router.state.registry, router.state.cache
     first = registry.named(engine.incarnation).incarnation
-    believed.read(first, "1", (model.Part("aa", 100),))
+    believed.add_parts(first, "1", (model.Part("aa", 100),))
     registry.leaving(first)
     engine.start_again()
     site.store.put("servers", engine.incarnation, engine.entry())
