--- a/toucanrudder/forwarding/following.py
+++ b/toucanrudder/forwarding/following.py
@@ -360,7 +360,7 @@
         read = (self._read_upstream(each) for each in objects)
         for upstream, absence in registry.replace(filter(None, read), now_s):
             _note_upstream(upstream, absence.value)
-        self._state.states.keep(registry.incarnations)
+        self._state.states.retain(registry.incarnations)
 
     def _confirmed(self, now_s: float, due_s: float) -> None:
         registry = self._state.registry
@@ -388,7 +388,7 @@
         absence = registry.remove(known.incarnation, now_s)
         if absence is not None:
             _note_upstream(known, absence.value)
-        self._state.states.keep(registry.incarnations)
+        self._state.states.retain(registry.incarnations)
 
     def tick(self, now_s: float) -> None:
         """Drop the upstreams whose entries have stayed missing."""
@@ -397,7 +397,7 @@
         for upstream in dropped:
             _note_upstream(upstream, registries.Absence.GONE.value)
         if dropped:
-            self._state.states.keep(registry.incarnations)
+            self._state.states.retain(registry.incarnations)
 
     def _registered(self, upstream: model.Upstream) -> None:
         registry = self._state.registry
@@ -414,7 +414,7 @@
         registry.put(upstream)
         if known is None:
             # A start before this one under the same name is forgotten.
-            self._state.states.keep(registry.incarnations)
+            self._state.states.retain(registry.incarnations)
 
     def _weights(self, objects, now_s: float) -> None:
         self._has_weights = True
--- a/toucanrudder/forwarding/tests/test_restarts.py
+++ b/toucanrudder/forwarding/tests/test_restarts.py
@@ -56,7 +56,7 @@
         return start_of(name, max(1, self.born_ms[name] - back))
 
     def keep(self):
-        self.states.keep(self.registry.incarnations)
+        self.states.retain(self.registry.incarnations)
         self.cache.retain(dict.fromkeys(self.registry.incarnations, 0))
         self.has_read &= self.registry.incarnations
         self.failed &= self.registry.incarnations
--- a/toucanrudder/forwarding/upstream_states.py
+++ b/toucanrudder/forwarding/upstream_states.py
@@ -66,7 +66,7 @@
             found = self._states[incarnation] = UpstreamState()
         return found
 
-    def keep(self, incarnations: set[str]) -> None:
+    def retain(self, incarnations: set[str]) -> None:
         """Forget processes that are gone and serve none of our requests."""
         for name in set(self._states) - incarnations:
             if not self._states[name].requests:
