--- a/toucanrudder/leases/__init__.py
+++ b/toucanrudder/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases in the store, and orders given under them."""
+"""Leases in the object store, and the weight orders of their holders."""
--- a/toucanrudder/leases/decision.py
+++ b/toucanrudder/leases/decision.py
@@ -1,10 +1,10 @@
-"""Who holds a lease, and until when it may act.  No I/O.
+"""Decides who holds a lease, and until when the holder may act.  No I/O.
 
-The store keeps no times that could be compared between clocks.  A holder
-counts from before it sent the write that gave or renewed its lease;
-another router counts from after it read that write's result.  So the
-other's waiting always ends after the holder's time, if their clocks run
-alike within the margin.
+The store keeps no timestamps that could be compared between clocks.  A
+holder counts from before it sent the write that acquired or renewed its
+lease; another router counts from after it read the result of that write.
+The other's wait therefore always ends after the holder's validity, as long
+as their clocks run at the same rate within the margin.
 """
 
 import enum
@@ -13,24 +13,25 @@
 
 from toucanrudder.store import feed
 
-#: Time for which a lease is held after it was written.
+#: Term of a lease, counted from its last write.
 TERM_S = 10.0
 
-#: Taken off the holder's side and added on the others': covers clocks
-#: that run differently and orders that are on their way.
+#: Subtracted from the term for the holder and added to it for all others;
+#: covers clocks that run at different rates and orders in flight.
 MARGIN_S = 2.0
 
 
 @attrs.frozen
 class LeaseTiming:
-    """How long a lease is held, and what is left between two holders.
+    """Term of a lease, and the margin between two holders.
 
     Parameters
     ----------
     term_s : float
-        Time for which a lease is held after it was written.
+        Term of a lease in seconds, counted from its last write.
     margin_s : float
-        Taken off the holder's side and added on the others'.
+        Seconds subtracted from the term for the holder and added to it for
+        all others.
     """
 
     term_s: float = TERM_S
@@ -38,33 +39,33 @@
 
     @property
     def validity_s(self) -> float:
-        """Time after a write for which its writer may act."""
+        """Seconds after a write for which its writer may act."""
         return self.term_s - self.margin_s
 
     @property
     def takeover_after_s(self) -> float:
-        """Time without a write after which another may take the lease."""
+        """Seconds without a write after which another may take the lease."""
         return self.term_s + self.margin_s
 
 
 DEFAULT_TIMING = LeaseTiming()
 
-#: Parts of the time within which another holder must follow.  A silent
-#: holder acts for two thirds of it; the next takes the lease after 14/15,
-#: which leaves a fifteenth for the write.  What lies between, eight tenths
-#: of a second of three, is longer than an order can be on its way.
+#: Shares of the failover time.  A holder that stops renewing acts for two
+#: thirds of it; the next holder takes the lease after 14/15, which leaves a
+#: fifteenth for the write.  The gap between the two, 0.8 s of a failover
+#: time of 3 s, is longer than an order can be in flight.
 TERM_SHARE = 0.8
 MARGIN_SHARE = 2 / 15
 
 
 def timing_for_failover(failover_s: float) -> LeaseTiming:
-    """Return the terms under which another holder follows in time.
+    """Return the timing with which a failed holder is replaced in time.
 
     Parameters
     ----------
     failover_s : float
-        From the last write of a holder that falls silent until another
-        holds the lease.
+        Seconds from the last write of the failed holder until another
+        process holds the lease.
 
     Examples
     --------
@@ -75,8 +76,9 @@
     return LeaseTiming(TERM_SHARE * failover_s, MARGIN_SHARE * failover_s)
 
 
-#: Fencing numbers for each era of a store: what an older copy lacks, nobody
-#: may know of, and no number may be given out twice.
+#: Fencing numbers reserved for each era of a store.  Numbers that are
+#: missing in the restored copy may be known to nobody, and no number may be
+#: issued twice.
 FENCING_PER_ERA = 1 << 20
 
 
@@ -87,11 +89,12 @@
     Parameters
     ----------
     holder : str
-        Identity of the holder's process; empty when it was released.
+        Identity of the holder's process; empty after a release.
     fencing : int
-        Rises with each change of the holder.
+        Fencing number; increases with each change of the holder.
     write_id : str
-        Identity of the last write, to settle lost answers.
+        Identity of the last write; shows after a lost response whether the
+        write took effect.
     """
 
     holder: str = ""
@@ -106,16 +109,17 @@
     Parameters
     ----------
     fencing : int
-        Number that orders carry.
+        Fencing number that orders carry.
     acquired_s : float
-        Monotonic time at which it was first held.
+        Monotonic time at which this process acquired the lease.
     valid_until_s : float
-        Monotonic time at which this process must have stopped acting.
+        Monotonic time by which this process must have stopped acting.
     follows_release : bool
-        Whether another gave it up, whose last order may still be on its
-        way; one that fell silent had stopped acting long before.
+        Whether the previous holder released the lease, so that its last
+        order may still be in flight.  A holder whose lease expired had
+        stopped acting long before.
     era : int
-        Of the store, when the lease was last written.
+        Era of the store when the lease was last written.
     """
 
     fencing: int
@@ -125,21 +129,21 @@
     era: int = 0
 
     def is_valid(self, now_s: float) -> bool:
-        """Say whether the holder may act now."""
+        """Return whether the holder may act now."""
         return now_s < self.valid_until_s
 
 
 @attrs.frozen
-class Seen:
-    """What was last read of a lease, and since when it is unchanged."""
+class Observation:
+    """Lease object as last read, and since when it has been unchanged."""
 
     position: feed.Position
     record: Record
-    since_s: float
+    unchanged_since_s: float
 
 
 def min_fencing(era: int) -> int:
-    """Return a fencing number above all that earlier eras have given out.
+    """Return a fencing number above all that earlier eras issued.
 
     Examples
     --------
@@ -150,7 +154,7 @@
 
 
 class Step(enum.Enum):
-    """What a process does next about a lease."""
+    """Next action of a process on a lease."""
 
     CREATE = "create"
     TAKE = "take"
@@ -159,16 +163,19 @@
 
 
 def observe(
-    seen: Seen | None, position: feed.Position, record: Record, now_s: float
-) -> Seen:
-    """Return what is known after a read that ended at `now_s`."""
-    if seen is not None and seen.position == position:
-        return seen
-    return Seen(position, record, now_s)
+    previous: Observation | None,
+    position: feed.Position,
+    record: Record,
+    now_s: float,
+) -> Observation:
+    """Return the observation after a read that ended at `now_s`."""
+    if previous is not None and previous.position == position:
+        return previous
+    return Observation(position, record, now_s)
 
 
 def next_step(
-    seen: Seen | None,
+    observation: Observation | None,
     holder_id: str,
     now_s: float,
     timing: LeaseTiming = DEFAULT_TIMING,
@@ -176,53 +183,55 @@
     restored_s: float = float("-inf"),
     is_held: bool = False,
 ) -> Step:
-    """Say what to do.
+    """Return the next action of this process.
 
-    A store that was restored may lack the newest holder's record, and that
-    holder acts on until its time is over.
+    A restored store may lack the record of the newest holder, which goes on
+    acting until its validity ends.
 
     Parameters
     ----------
-    seen : Seen or None
-        The lease's object as last read; None if there is none.
+    observation : Observation or None
+        Lease object as last read; None if there is none.
     holder_id : str
         Identity of this process.
     now_s : float
         Monotonic time.
     timing : LeaseTiming
-        The same for all processes that want the lease.
+        Must be the same for all processes that compete for the lease.
     restored_s : float
         Monotonic time at which this process noticed that the store was
         restored.
     is_held : bool
-        Whether this process's own lease has not run out.
+        Whether this process holds the lease and it has not expired.
 
     Examples
     --------
     >>> position = feed.Position(era=1, revision=1)
-    >>> seen = Seen(position, Record("other", 5, "w"), since_s=0.0)
-    >>> next_step(seen, "me", now_s=TERM_S)
+    >>> held = Observation(position, Record("other", 5, "w"), 0.0)
+    >>> next_step(held, "me", now_s=TERM_S)
     <Step.WAIT: 'wait'>
-    >>> next_step(seen, "me", now_s=TERM_S + MARGIN_S)
+    >>> next_step(held, "me", now_s=TERM_S + MARGIN_S)
     <Step.TAKE: 'take'>
     """
-    may_be_others = now_s - restored_s < timing.takeover_after_s
-    if seen is not None and seen.record.holder == holder_id:
-        return Step.RENEW if is_held or not may_be_others else Step.WAIT
-    if may_be_others:
+    may_be_held_by_other = now_s - restored_s < timing.takeover_after_s
+    if observation is not None and observation.record.holder == holder_id:
+        return Step.RENEW if is_held or not may_be_held_by_other else Step.WAIT
+    if may_be_held_by_other:
         return Step.WAIT
-    if seen is None:
+    if observation is None:
         return Step.CREATE
-    if not seen.record.holder:
+    if not observation.record.holder:
         return Step.TAKE
-    # Engines that ignore fencing numbers would obey two holders.  So the
-    # old holder's time, by its own clock, must have passed before.
-    lapsed = now_s - seen.since_s >= timing.takeover_after_s
-    return Step.TAKE if lapsed else Step.WAIT
+    # Engines that ignore fencing numbers would obey two holders at once.
+    # The old holder's validity, by its own clock, must therefore have ended.
+    has_expired = (
+        now_s - observation.unchanged_since_s >= timing.takeover_after_s
+    )
+    return Step.TAKE if has_expired else Step.WAIT
 
 
 def valid_until_s(
     sent_s: float, timing: LeaseTiming = DEFAULT_TIMING
 ) -> float:
-    """Return until when a write sent at `sent_s` lets the holder act."""
+    """Return when the validity of a write sent at `sent_s` ends."""
     return sent_s + timing.validity_s
--- a/toucanrudder/leases/holder.py
+++ b/toucanrudder/leases/holder.py
@@ -1,4 +1,4 @@
-"""Takes, renews and gives up one lease."""
+"""Acquires, renews and releases one lease."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,8 +20,8 @@
 KIND = "leases"
 STEP = "lease"
 
-#: Pause between two looks at the lease, by the holder and by others.
-LOOK_S = 2.0
+#: Longest pause between two reads of the lease, by the holder and by others.
+POLL_INTERVAL_S = 2.0
 
 _FAILED = (
     interface.ConditionFailed,
@@ -37,31 +37,33 @@
 
 
 class LeaseHolder:
-    """One process's part in one lease.
+    """Acquires and keeps one lease for this process.
 
     Parameters
     ----------
     store : interface.ConditionalStore
-        Where the lease is kept.
+        Store that holds the lease object.
     name : str
-        The lease's name.
+        Name of the lease.
     holder_id : str
-        Identity of this process, unique also over restarts.
+        Identity of this process; must differ after a restart.
     is_candidate : callable
-        Whether this process should try to get the lease.
+        Returns whether this process should try to acquire the lease.
     can_act : callable
-        Whether this process could do what the lease is for.
+        Returns whether this process is able to do the work that the lease
+        protects.
     fencing_floor : callable
-        Highest fencing number known to be in use; the lease's object may
-        be older than that after the store came back in an older state.
+        Returns the highest fencing number known to be in use; the lease
+        object may hold a lower one after the store was restored.
     timeout_s : float
-        Seconds that one call to the store may take.
+        Timeout of one store call in seconds.
     rng : random.Random
-        For jitter.
+        Source of jitter.
     clock : callable
-        Time that runs on while the host is suspended.
+        Monotonic time in seconds that includes the time for which the host
+        is suspended.
     timing : decision.LeaseTiming
-        The same for all processes that want the lease.
+        Must be the same for all processes that compete for the lease.
     """
 
     def __init__(
@@ -82,21 +84,21 @@
         self.name = name
         self.holder_id = holder_id
         self._is_candidate = is_candidate
-        self._is_able = can_act
+        self._can_act = can_act
         self._fencing_floor = fencing_floor
         self._timeout_s = timeout_s
         self._rng = rng or random.Random()
         self._clock = clock
         self.timing = timing
-        self._seen: decision.Seen | None = None
+        self._observed: decision.Observation | None = None
         self._lease: decision.Lease | None = None
         self._era = 0
         self._restored_s = float("-inf")
 
     def current_lease(self, now_s: float) -> decision.Lease | None:
-        """Return the lease if this process may act on it now.
+        """Return the lease if this process may act under it now, else None.
 
-        A lease that was written before the store was restored may be lost.
+        A lease written before the store was restored may be lost in it.
         """
         lease = self._lease
         if lease is None or lease.era != self._store.era:
@@ -104,51 +106,52 @@
         return lease if lease.is_valid(now_s) else None
 
     def require_lease(self, now_s: float) -> decision.Lease:
-        """Return the lease; call right before each order.
+        """Return the lease, or raise; call right before each order.
 
         Raises
         ------
         RudderError
-            ``lease_lost``: the process was paused, or the store could
-            not be reached for too long, and another may hold it now.
+            ``lease_lost``: the process was paused, or the store was
+            unreachable for too long, and another process may hold the
+            lease now.
         """
         lease = self.current_lease(now_s)
         if lease is None:
             _count("lost_before_order")
             raise errors.RudderError(
                 errors.Code.LEASE_LOST,
-                f"lease {self.name} is not held any more",
+                f"lease {self.name} is no longer held",
                 step=STEP,
                 peer="store",
             )
         return lease
 
-    def observe(self, found: interface.StoredObject, now_s: float) -> None:
-        """Take in the lease's object as a watch has told it.
+    def observe(self, stored: interface.StoredObject, now_s: float) -> None:
+        """Record the lease object that a watch reported.
 
-        Failure: the holder falls silent.  Symptom: whoever first reads the
-        lease only when there is work waits out a whole term from then on,
-        so the next orders come twice as late as they could.  Whoever was
-        told of each write counts from the last one.
+        A process that reads the lease only once there is work waits a
+        whole term from that read after the holder has failed, and the next
+        orders come twice as late as necessary.  With a watch the wait
+        counts from the holder's last write.
         """
-        position = feed.Position(self._store.era, found.version)
-        if self._seen is None or position > self._seen.position:
-            self._take_in(found, now_s)
+        position = feed.Position(self._store.era, stored.version)
+        if self._observed is None or position > self._observed.position:
+            self._record(stored, now_s)
 
-    def _take_in(
-        self, found: interface.StoredObject | None, now_s: float
+    def _record(
+        self, stored: interface.StoredObject | None, now_s: float
     ) -> None:
-        """Note what the store has just answered."""
+        """Record the lease object that the store returned."""
         era = self._store.era
         if era != self._era:
             if self._era:
                 self._restored_s = now_s
             self._era = era
-        self._seen = _seen(self._seen, found, era, now_s)
+        self._observed = _observation(self._observed, stored, era, now_s)
 
     def _next_step(self, now_s: float) -> decision.Step:
         return decision.next_step(
-            self._seen,
+            self._observed,
             self.holder_id,
             now_s,
             self.timing,
@@ -157,75 +160,77 @@
         )
 
     def is_held_by_other(self, now_s: float) -> bool:
-        """Whether another is known to hold it; asking would tell no more."""
+        """Return whether another may hold the lease; needs no read then."""
         return self._next_step(now_s) is decision.Step.WAIT
 
     async def run(self) -> None:
-        """Try to get the lease and keep it, until cancelled.
+        """Acquire the lease and keep it, until cancelled.
 
-        Failure: a holder is cut off from those whom it is to order, but
-        not from the store.  Symptom: it renews the lease, and what it is
-        for is done by nobody.  So who is not able gives it up; what is on
-        its way is covered as at any change of the holder.
+        A holder that reaches the store but not the upstreams it gives
+        orders to would renew the lease while nobody does the work.  A
+        process that cannot act therefore releases the lease; orders in
+        flight are covered as at any other change of the holder.
         """
         while True:
-            if not self._is_able():
+            if not self._can_act():
                 await self.release()
             elif self._lease is not None or self._is_candidate():
                 with contextlib.suppress(*_FAILED):
                     await self.reconcile()
-            await asyncio.sleep(LOOK_S * self._rng.uniform(0.75, 1.0))
+            await asyncio.sleep(POLL_INTERVAL_S * self._rng.uniform(0.75, 1.0))
 
     async def reconcile(self) -> None:
-        """Read the lease once and do what follows from it.
+        """Read the lease, then acquire or renew it if this is allowed.
 
-        Raises the store's exceptions; calling again is always safe.
+        Raises the exceptions of the store; calling again is always safe.
         """
-        found = await self._store.get(
+        stored = await self._store.get(
             KIND, self.name, timeout_s=self._timeout_s
         )
         now_s = self._clock()
-        self._take_in(found, now_s)
+        self._record(stored, now_s)
         step = self._next_step(now_s)
         if step is decision.Step.WAIT:
-            self._forget()
+            self._drop_lease()
             return
         try:
             await self._write(step)
         except interface.ConditionFailed:
-            self._forget()
+            self._drop_lease()
             raise
 
     async def release(self) -> None:
-        """Give the lease up, so that another need not wait out the term.
+        """Release the lease, so that the next holder need not wait.
 
-        Call it when no order is under way any more.
+        Call it only when no order is in flight any more.
         """
-        if self._lease is None or self._seen is None:
+        if self._lease is None or self._observed is None:
             return
-        self._forget()
-        is_held_by_other = self._seen.record.holder != self.holder_id
-        if is_held_by_other or self._seen.position.era != self._store.era:
-            # A watch has told that another took it over meanwhile, or
-            # another's write may have the same version.
+        self._drop_lease()
+        is_held_by_other = self._observed.record.holder != self.holder_id
+        if is_held_by_other or self._observed.position.era != self._store.era:
+            # Either a watch has reported a new holder, or the store was
+            # restored and another's write may have the same version.
             return
-        record = attrs.evolve(self._seen.record, holder="")
+        record = attrs.evolve(self._observed.record, holder="")
         with contextlib.suppress(*_FAILED):
             await self._store.update(
                 KIND,
                 self.name,
                 attrs.asdict(record),
-                self._seen.position.revision,
+                self._observed.position.revision,
                 timeout_s=self._timeout_s,
             )
 
     async def _write(self, step: decision.Step) -> None:
         record = self._next_record(step)
-        released = self._seen is not None and not self._seen.record.holder
+        follows_release = (
+            self._observed is not None and not self._observed.record.holder
+        )
         sent_s = self._clock()
         value = attrs.asdict(record)
         try:
-            if self._seen is None:
+            if self._observed is None:
                 version = await self._store.create(
                     KIND, self.name, value, timeout_s=self._timeout_s
                 )
@@ -234,94 +239,104 @@
                     KIND,
                     self.name,
                     value,
-                    self._seen.position.revision,
+                    self._observed.position.revision,
                     timeout_s=self._timeout_s,
                 )
         except interface.OutcomeUnknown:
-            # The write may have taken effect.  Its identity tells; the
-            # time counts from before it was sent, as if it had answered.
+            # The write may have taken effect.  Its write_id shows whether;
+            # the validity counts from before it was sent, as usual.
             _count("answer_lost")
             version = await self._version_if_written(record)
         era = self._store.era
         if era != self._era:
-            raise interface.ConditionFailed("the store was restored meanwhile")
+            raise interface.ConditionFailed(
+                "the store was restored during the write"
+            )
         position = feed.Position(era, version)
-        self._seen = decision.Seen(position, record, self._clock())
-        self._hold(record, sent_s, released)
+        self._observed = decision.Observation(position, record, self._clock())
+        self._set_lease(record, sent_s, follows_release)
 
     def _next_record(self, step: decision.Step) -> decision.Record:
-        before = self._seen.record if self._seen else decision.Record()
+        current = (
+            self._observed.record if self._observed else decision.Record()
+        )
         floor = self._fencing_floor()
-        fencing, lease = before.fencing, self._lease
+        fencing, lease = current.fencing, self._lease
         is_renewal = (
             step is decision.Step.RENEW
             and lease is not None
             and lease.fencing == fencing
         )
         if not is_renewal or floor > fencing:
-            # Above the floor too: the store may have come back older,
-            # and engines that check would refuse a number they are past.
-            least = decision.min_fencing(self._era)
-            fencing = max(fencing, floor, least) + 1
+            # Above the floor too: the store may have been restored from an
+            # older copy, and engines reject a number below their own.
+            era_floor = decision.min_fencing(self._era)
+            fencing = max(fencing, floor, era_floor) + 1
         return decision.Record(self.holder_id, fencing, uuid.uuid4().hex)
 
     async def _version_if_written(self, record: decision.Record) -> int:
-        found = await self._store.get(
+        stored = await self._store.get(
             KIND, self.name, timeout_s=self._timeout_s
         )
-        seen = _seen(None, found, self._store.era, self._clock())
-        if seen is None or seen.record.write_id != record.write_id:
+        current = _observation(None, stored, self._store.era, self._clock())
+        if current is None or current.record.write_id != record.write_id:
             raise interface.ConditionFailed("another write came first")
-        return found.version
+        return stored.version
 
-    def _hold(
-        self, record: decision.Record, sent_s: float, released: bool
+    def _set_lease(
+        self, record: decision.Record, sent_s: float, follows_release: bool
     ) -> None:
-        before = self._lease
+        previous = self._lease
         valid_until_s = decision.valid_until_s(sent_s, self.timing)
-        if before is not None and before.fencing == record.fencing:
+        if previous is not None and previous.fencing == record.fencing:
             self._lease = attrs.evolve(
-                before, valid_until_s=valid_until_s, era=self._era
+                previous, valid_until_s=valid_until_s, era=self._era
             )
             return
         _count("acquired")
         self._lease = decision.Lease(
-            record.fencing, self._clock(), valid_until_s, released, self._era
+            record.fencing,
+            self._clock(),
+            valid_until_s,
+            follows_release,
+            self._era,
         )
 
-    def _forget(self) -> None:
+    def _drop_lease(self) -> None:
         if self._lease is not None:
             _count("lost")
         self._lease = None
 
 
-def _seen(
-    before: decision.Seen | None,
-    found: interface.StoredObject | None,
+def _observation(
+    previous: decision.Observation | None,
+    stored: interface.StoredObject | None,
     era: int,
     now_s: float,
-) -> decision.Seen | None:
-    if found is None:
+) -> decision.Observation | None:
+    if stored is None:
         return None
     try:
         record = typed.read(
-            decision.Record, found.value, f"{found.kind}/{found.name}"
+            decision.Record, stored.value, f"{stored.kind}/{stored.name}"
         )
     except interface.MalformedObject as error:
         strange.log_malformed(error)
-        record = _unreadable(before, found.version)
-    position = feed.Position(era, found.version)
-    return decision.observe(before, position, record, now_s)
+        record = _malformed_record(previous, stored.version)
+    position = feed.Position(era, stored.version)
+    return decision.observe(previous, position, record, now_s)
 
 
-def _unreadable(before: decision.Seen | None, version: int) -> decision.Record:
-    """Return what a lease that somebody has spoilt is taken for.
+def _malformed_record(
+    previous: decision.Observation | None, version: int
+) -> decision.Record:
+    """Return the record that stands in for a malformed lease object.
 
-    Failure: another writer replaces the lease by something else.  Symptom:
-    nobody can take it any more, or somebody takes it with a fencing number
-    that engines are past.  So it counts as held by somebody unknown, for
-    as long as any holder could hold it; and numbers go on from the
-    store's own version, which has risen with each of them.
+    When another writer has overwritten the lease, nobody could acquire it
+    any more, or somebody would acquire it with a fencing number that
+    engines reject.  It therefore counts as held by an unknown holder, for
+    as long as any holder could hold it.  Fencing numbers continue from the
+    object's version, which has increased with each of them.
     """
-    fencing = before.record.fencing if before else 0
+    fencing = previous.record.fencing if previous else 0
     return decision.Record(holder="?", fencing=max(fencing, version))
--- a/toucanrudder/leases/tests/test_leases.py
+++ b/toucanrudder/leases/tests/test_leases.py
@@ -21,32 +21,32 @@
 from toucanrudder.upstreams import loads
 
 TERM_S, MARGIN_S = decision.TERM_S, decision.MARGIN_S
-ENOUGH_S = TERM_S + MARGIN_S + 0.1
+TAKEOVER_S = TERM_S + MARGIN_S + 0.1
 
 
 class Clock:
-    """A clock that runs at its own rate."""
+    """A clock that runs at its own rate against the true time."""
 
-    def __init__(self, true, rate=1.0):
-        self.true, self.rate = true, rate
+    def __init__(self, true_s, rate=1.0):
+        self.true_s, self.rate = true_s, rate
 
     def __call__(self):
-        return self.true[0] * self.rate
+        return self.true_s[0] * self.rate
 
 
 class Contender:
-    def __init__(self, store, true, me, rate=1.0, floor=lambda: 0):
-        self.clock = Clock(true, rate)
+    def __init__(self, store, true_s, name, rate=1.0, floor=lambda: 0):
+        self.clock = Clock(true_s, rate)
         self.holder = holder.LeaseHolder(
             store,
             "weights",
-            me,
+            name,
             fencing_floor=floor,
-            rng=random.Random(me),
+            rng=random.Random(name),
             clock=self.clock,
         )
 
-    def held(self):
+    def lease(self):
         return self.holder.current_lease(self.clock())
 
     async def reconcile(self):
@@ -62,21 +62,21 @@
     derandomize=True, max_examples=150, stateful_step_count=40, deadline=None
 )
 class OneHolder(stateful.RuleBasedStateMachine):
-    """Three processes want a lease; pauses, lost answers, uneven clocks.
+    """Three processes compete for a lease; store faults and clock drift.
 
-    At no moment may two of them act, and who acts later has the higher
-    fencing number.
+    At no time may two of them act, and a later holder has a higher fencing
+    number.
     """
 
     names = strategies.sampled_from(["a", "b", "c"])
 
     def __init__(self):
         super().__init__()
-        self.true = [100.0]
+        self.true_s = [100.0]
         self.store = memory.MemoryObjectStore()
-        self.highest = 0
+        self.highest_fencing = 0
         self.contenders = {
-            name: Contender(self.store, self.true, name, rate)
+            name: Contender(self.store, self.true_s, name, rate)
             for name, rate in (("a", 1.0), ("b", 1.05), ("c", 0.95))
         }
 
@@ -85,18 +85,18 @@
         asyncio.run(self.contenders[name].reconcile())
 
     @stateful.rule(seconds=strategies.sampled_from([0.5, 2, 8, 9.8, 12, 30]))
-    def passes(self, seconds):
-        self.true[0] += seconds
+    def time_passes(self, seconds):
+        self.true_s[0] += seconds
 
     @stateful.rule(fault=strategies.sampled_from(["lose", "drop", "down"]))
-    def fault(self, fault):
+    def store_fails(self, fault):
         faults = self.store.faults
         faults.lose_answers = int(fault == "lose")
         faults.drop_writes = int(fault == "drop")
         faults.down = fault == "down"
 
     @stateful.rule()
-    def works_again(self):
+    def store_recovers(self):
         self.store.faults = memory.Faults()
 
     @stateful.rule(name=names)
@@ -104,88 +104,88 @@
         asyncio.run(self.contenders[name].holder.release())
 
     @stateful.rule(name=names)
-    def is_told(self, name):
-        found = asyncio.run(self._stored())
+    def watch_reports(self, name):
+        stored = asyncio.run(self._stored_lease())
         contender = self.contenders[name]
-        if found is not None:
-            contender.holder.observe(found, contender.clock())
+        if stored is not None:
+            contender.holder.observe(stored, contender.clock())
 
-    async def _stored(self):
+    async def _stored_lease(self):
         with contextlib.suppress(interface.StoreUnavailable):
             return await self.store.get(holder.KIND, "weights", timeout_s=1)
 
     @stateful.invariant()
-    def one_acts(self):
-        acting = [c.held() for c in self.contenders.values() if c.held()]
-        assert len(acting) <= 1
-        for lease in acting:
-            assert lease.fencing >= self.highest
-            self.highest = lease.fencing
+    def at_most_one_acts(self):
+        held = [c.lease() for c in self.contenders.values() if c.lease()]
+        assert len(held) <= 1
+        for lease in held:
+            assert lease.fencing >= self.highest_fencing
+            self.highest_fencing = lease.fencing
 
 
 TestOneHolder = OneHolder.TestCase
 
 
 async def test_a_paused_holder_does_not_act():
-    """A holder that was paused gives no order after its lease has lapsed.
+    """A paused holder gives no order after its lease has expired.
 
-    It is stopped between planning an order and giving it, for longer
-    than the term.  Another takes the lease meanwhile.  When it wakes, it
-    checks before the order, and afterwards sees that it has lost.
+    It is paused between planning an order and giving it, for longer than
+    the term, and another process takes the lease.  After the pause the
+    check before the order fails, and so does the next renewal.
     """
-    store, true = memory.MemoryObjectStore(), [0.0]
-    one, two = (Contender(store, true, name) for name in "ab")
+    store, true_s = memory.MemoryObjectStore(), [0.0]
+    one, two = (Contender(store, true_s, name) for name in "ab")
     await one.reconcile()
-    first = one.holder.require_lease(true[0])
+    first = one.holder.require_lease(true_s[0])
     await two.reconcile()
-    true[0] += ENOUGH_S
+    true_s[0] += TAKEOVER_S
     await two.reconcile()
-    second = two.holder.require_lease(true[0])
+    second = two.holder.require_lease(true_s[0])
     assert second.fencing > first.fencing
     with pytest.raises(errors.RudderError) as caught:
-        one.holder.require_lease(true[0])
+        one.holder.require_lease(true_s[0])
     assert caught.value.code is errors.Code.LEASE_LOST
     await one.reconcile()
-    assert two.held()
-    assert not one.held()
+    assert two.lease()
+    assert not one.lease()
 
 
 @pytest.mark.parametrize("passed_s", [0.0, TERM_S - MARGIN_S, TERM_S + 0.5])
-async def test_another_waits_out_the_margin(passed_s):
-    store, true = memory.MemoryObjectStore(), [0.0]
-    one, two = (Contender(store, true, name) for name in "ab")
+async def test_takeover_waits_for_the_margin(passed_s):
+    store, true_s = memory.MemoryObjectStore(), [0.0]
+    one, two = (Contender(store, true_s, name) for name in "ab")
     await one.reconcile()
     await two.reconcile()
-    true[0] += passed_s
+    true_s[0] += passed_s
     await two.reconcile()
-    assert not two.held()
+    assert not two.lease()
 
 
 async def test_a_released_lease_is_taken_at_once():
-    store, true = memory.MemoryObjectStore(), [0.0]
-    one, two = (Contender(store, true, name) for name in "ab")
+    store, true_s = memory.MemoryObjectStore(), [0.0]
+    one, two = (Contender(store, true_s, name) for name in "ab")
     await one.reconcile()
     await one.holder.release()
     await two.reconcile()
-    assert two.held().fencing == 2
-    assert not one.held()
+    assert two.lease().fencing == 2
+    assert not one.lease()
 
 
-async def test_fencing_numbers_rise_though_the_store_came_back_older():
-    """Orders are not refused for ever after the store was restored.
+async def test_fencing_numbers_rise_after_a_restore_of_the_store():
+    """After a restore of the store, engines would reject all orders.
 
-    The restored object holds a lower number than engines have seen.
-    What they report is the floor for the next number.
+    The restored lease object holds a lower fencing number than engines
+    have accepted.  The numbers that they report are the floor of the next.
     """
-    store, true, floor = memory.MemoryObjectStore(), [0.0], [0]
-    one = Contender(store, true, "a", floor=lambda: floor[0])
+    store, true_s, floor = memory.MemoryObjectStore(), [0.0], [0]
+    one = Contender(store, true_s, "a", floor=lambda: floor[0])
     await one.reconcile()
     floor[0] = 41
     await one.reconcile()
-    assert one.held().fencing == 42
+    assert one.lease().fencing == 42
     floor[0] = 42
     await one.reconcile()
-    assert one.held().fencing == 42
+    assert one.lease().fencing == 42
 
 
 def _engine(name, running=0, state="live", **models):
@@ -211,8 +211,8 @@
 
 OLD, NEW = {"m": "v1"}, {"m": "v2"}
 PLANS = {
-    "all right": ([_engine("a", **NEW), _engine("b", **NEW)], {}, []),
-    "two at once": (
+    "all up to date": ([_engine("a", **NEW), _engine("b", **NEW)], {}, []),
+    "limit of two loads": (
         [_engine(n, **OLD) for n in "abcd"],
         {},
         [("a", "m"), ("b", "m")],
@@ -222,45 +222,49 @@
         {},
         [("c", "m"), ("b", "m")],
     ),
-    "one is loading": (
+    "one is already loading": (
         [_engine("a", 0, "loading", **OLD)]
         + [_engine(n, **OLD) for n in "bcd"],
         {},
         [("b", "m")],
     ),
-    "one was just ordered": (
+    "one was ordered just now": (
         [_engine(n, **OLD) for n in "abcd"],
         {"ordered_s": {"a": 99.0}},
         [("b", "m")],
     ),
-    "an order got lost": (
+    "an order is no longer pending": (
         [_engine(n, **OLD) for n in "abcd"],
         {"ordered_s": {"a": 100 - weights.ORDER_PENDING_S}},
         [("a", "m"), ("b", "m")],
     ),
-    "an ordered one is done": (
+    "an ordered engine is up to date": (
         [_engine("a", **NEW)] + [_engine(n, **OLD) for n in "bcd"],
         {"ordered_s": {"a": 99.0}},
         [("b", "m"), ("c", "m")],
     ),
-    "an ordered one is silent": (
+    "an ordered engine has no report": (
         [(_engine("a", **OLD)[0], None)] + [_engine(n, **OLD) for n in "bcd"],
         {"ordered_s": {"a": 99.0}},
         [("b", "m")],
     ),
-    "one stays live": ([_engine(n, **OLD) for n in "ab"], {}, [("a", "m")]),
-    "the last live one stays": (
+    "one of two stays live": (
+        [_engine(n, **OLD) for n in "ab"],
+        {},
+        [("a", "m")],
+    ),
+    "the last live engine is kept": (
         [_engine("a", 0, "loading", **OLD), _engine("b", **OLD)],
         {},
         [],
     ),
-    "the only one": ([_engine("a", **OLD)], {}, [("a", "m")]),
-    "leaving ones are left alone": (
+    "the only engine": ([_engine("a", **OLD)], {}, [("a", "m")]),
+    "a leaving engine gets no order": (
         [_engine("a", 0, "leaving", **OLD), _engine("b", **NEW)],
         {},
         [],
     ),
-    "one model at a time": (
+    "one model per engine at a time": (
         [_engine("a", m="v1", n="v1"), _engine("b", m="v2", n="v2")],
         {},
         [("a", "m")],
@@ -269,48 +273,49 @@
 
 
 @pytest.mark.parametrize("case", PLANS)
-def test_which_engines_load_next(case):
+def test_plan_of_weight_orders(case):
     engines, options, expected = PLANS[case]
     assert _plan(engines, **options) == expected
 
 
-def test_an_order_names_a_state():
+def test_a_repeated_order_has_the_same_id():
     upstream, _ = _engine("a", **OLD)
     order = weights.Order(upstream, "i", "m", "v2")
     again = attrs.evolve(order)
     assert order.order_id == again.order_id == "a.i.m.v2"
 
 
-def test_a_lease_counts_the_time_of_a_suspended_host():
-    """The instance is suspended with the lease held, another takes it over,
-    and the instance wakes.  By the clock that stood still meanwhile the
-    lease would still hold, and two holders would order loads.
+def test_lease_time_includes_suspension_of_the_host():
+    """A host is suspended while it holds the lease, and another takes over.
+
+    By a clock that stops during the suspension the lease would still be
+    valid after the wake-up, and two holders would order loads.
     """
-    made = holder.LeaseHolder(None, "weights", "me")
-    assert made._clock is clock.now_s
+    contender = holder.LeaseHolder(None, "weights", "me")
+    assert contender._clock is clock.now_s
     assert abs(clock.now_s() - time.clock_gettime(time.CLOCK_BOOTTIME)) < 60
 
 
 FAILOVER_S = 3.0
 STEP_S = 0.05
 
-#: How the holder goes: the part of the failover time after which it acts
+#: How the holder fails: share of the failover time after which it runs
 #: again.
-WENT = {
-    "killed, or cut from the store": float("inf"),
-    "frozen, and wakes too late": 1.7,
-    "frozen for a moment": 0.3,
+OUTAGES = {
+    "killed, or cut off from the store": float("inf"),
+    "paused beyond its validity": 1.7,
+    "paused briefly": 0.3,
 }
 
 
 class Watcher(Contender):
-    """Is told of each write, and takes the lease when it may."""
+    """Observes each write of the lease, and takes it when it may."""
 
-    def __init__(self, store, true, me, failover_s):
-        super().__init__(store, true, me)
+    def __init__(self, store, true_s, name, failover_s):
+        super().__init__(store, true_s, name)
         self.holder.timing = decision.timing_for_failover(failover_s)
 
-    async def turn(self):
+    async def poll(self):
         stored = await self.holder._store.get(
             holder.KIND, "weights", timeout_s=1.0
         )
@@ -321,125 +326,134 @@
 
 
 @pytest.mark.parametrize("failover_s", [1.0, FAILOVER_S])
-@pytest.mark.parametrize("back_share", WENT.values(), ids=WENT.keys())
-async def test_another_holder_follows_in_time(back_share, failover_s):
-    """The holder falls silent right after it has renewed its lease.
+@pytest.mark.parametrize("back_share", OUTAGES.values(), ids=OUTAGES.keys())
+async def test_failover_within_the_set_time(back_share, failover_s):
+    """A holder fails right after a renewal, while callers need new weights.
 
-    Callers wait for new weights meanwhile.  The next in line has been told
-    of that renewal and holds the lease within the time that is set, and at
-    no moment may both act: a holder that wakes finds that it may not.
+    The next process has observed that renewal and must hold the lease
+    within the failover time.  At no time may both act: a holder that runs
+    again must find its lease expired.
     """
-    true = [100.0]
+    true_s = [100.0]
     store = memory.MemoryObjectStore()
-    first, second = (Watcher(store, true, me, failover_s) for me in ("a", "b"))
-    await first.turn()
-    await second.turn()
-    assert first.held()
-    went_s, taken_s = true[0], None
-    while true[0] < went_s + 3 * failover_s:
-        true[0] += STEP_S
-        if true[0] - went_s >= back_share * failover_s:
-            await first.turn()
-        await second.turn()
-        assert not (first.held() and second.held())
-        if taken_s is None and second.held():
-            taken_s = true[0] - went_s
+    first, second = (
+        Watcher(store, true_s, name, failover_s) for name in ("a", "b")
+    )
+    await first.poll()
+    await second.poll()
+    assert first.lease()
+    failed_s, taken_after_s = true_s[0], None
+    while true_s[0] < failed_s + 3 * failover_s:
+        true_s[0] += STEP_S
+        if true_s[0] - failed_s >= back_share * failover_s:
+            await first.poll()
+        await second.poll()
+        assert not (first.lease() and second.lease())
+        if taken_after_s is None and second.lease():
+            taken_after_s = true_s[0] - failed_s
     if back_share < 0.6:
-        # It was back before its lease had lapsed, and kept it.
-        assert taken_s is None
+        # The holder ran again before its lease expired, and kept it.
+        assert taken_after_s is None
         return
-    assert taken_s <= failover_s
-    assert not second.held().follows_release
+    assert taken_after_s <= failover_s
+    assert not second.lease().follows_release
 
 
-async def test_a_released_lease_is_taken_at_once_but_marked():
-    """The holder stops and gives its lease up; its last order may be late.
+async def test_a_lease_taken_after_a_release_says_so():
+    """A holder stops and releases its lease; its last order may be late.
 
-    The next in line takes the lease without waiting, and knows that an
-    order of the one before may still be on its way.
+    The next holder takes the lease without waiting, and its lease says
+    that an order of the previous holder may still be in flight.
     """
-    true = [100.0]
+    true_s = [100.0]
     store = memory.MemoryObjectStore()
-    first, second = (Watcher(store, true, me, FAILOVER_S) for me in ("a", "b"))
-    await first.turn()
+    first, second = (
+        Watcher(store, true_s, name, FAILOVER_S) for name in ("a", "b")
+    )
+    await first.poll()
     await first.holder.release()
-    await second.turn()
-    assert second.held().follows_release
+    await second.poll()
+    assert second.lease().follows_release
 
 
-async def test_a_spoilt_lease_is_waited_out_and_outnumbered():
-    """Another writer replaces the lease's object by something else.
+async def test_a_malformed_lease_expires_before_takeover():
+    """Another writer overwrites the lease object with a malformed value.
 
-    Taken over at once, two could act; never taken over, no engine would
-    get new weights.  The number goes on above all that were in use.
+    If the lease were taken at once, two processes could act; if it were
+    never taken, no engine would get new weights.  The next fencing number
+    must exceed all earlier ones.
     """
-    true = [100.0]
+    true_s = [100.0]
     store = memory.MemoryObjectStore()
-    first, second = (Watcher(store, true, me, FAILOVER_S) for me in ("a", "b"))
-    await first.turn()
-    fencing = first.held().fencing
+    first, second = (
+        Watcher(store, true_s, name, FAILOVER_S) for name in ("a", "b")
+    )
+    await first.poll()
+    fencing = first.lease().fencing
     stored = await store.get(holder.KIND, "weights", timeout_s=1.0)
     await store.update(
         holder.KIND, "weights", {"fencing": "x"}, stored.version, timeout_s=1.0
     )
-    while first.held():
-        true[0] += STEP_S
-        await second.turn()
-    while not (first.held() or second.held()):
-        true[0] += STEP_S
-        await first.turn()
-        await second.turn()
-    assert not (first.held() and second.held())
-    assert (first.held() or second.held()).fencing > fencing
-    assert true[0] - 100.0 <= FAILOVER_S + STEP_S
-
-
-def test_a_holder_that_cannot_do_the_work_lets_go():
-    """Engines keep their weights while a router holds the lease in vain.
-
-    The holder hears no engine any more, but reaches the store, so it goes
-    on renewing the lease; another router hears all engines and waits.
+    while first.lease():
+        true_s[0] += STEP_S
+        await second.poll()
+    while not (first.lease() or second.lease()):
+        true_s[0] += STEP_S
+        await first.poll()
+        await second.poll()
+    assert not (first.lease() and second.lease())
+    assert (first.lease() or second.lease()).fencing > fencing
+    assert true_s[0] - 100.0 <= FAILOVER_S + STEP_S
+
+
+def test_a_holder_that_cannot_act_releases_the_lease():
+    """A router that reaches the store but no engine keeps the lease.
+
+    It would renew the lease and give no orders, while another router that
+    reaches all engines waits.  Engines would get no new weights.
     """
-    deaf_from_s = 20.0
+    engines_lost_s = 20.0
 
-    async def day():
+    async def scenario():
         store = memory.MemoryObjectStore()
         contenders = [
             holder.LeaseHolder(
                 store,
                 "weights",
-                me,
-                can_act=lambda me=me: me == "b" or clock.now_s() < deaf_from_s,
-                rng=random.Random(me),
+                name,
+                can_act=lambda name=name: (
+                    name == "b" or clock.now_s() < engines_lost_s
+                ),
+                rng=random.Random(name),
                 clock=clock.now_s,
             )
-            for me in ("a", "b")
+            for name in ("a", "b")
         ]
-        running = []
+        tasks = []
         for each in contenders:
-            running.append(asyncio.ensure_future(each.run()))
+            tasks.append(asyncio.ensure_future(each.run()))
             await asyncio.sleep(1.0)
         before = [each.current_lease(clock.now_s()) for each in contenders]
-        await asyncio.sleep(deaf_from_s + ENOUGH_S)
+        await asyncio.sleep(engines_lost_s + TAKEOVER_S)
         after = [each.current_lease(clock.now_s()) for each in contenders]
-        for each in running:
-            each.cancel()
+        for task in tasks:
+            task.cancel()
         return [[lease is not None for lease in at] for at in (before, after)]
 
-    assert timing.run(day) == [[True, False], [False, True]]
+    assert timing.run(scenario) == [[True, False], [False, True]]
 
 
 async def test_a_holder_does_not_release_anothers_lease():
-    """It wakes from a pause, is told of the next holder, and stops."""
-    store, true = memory.MemoryObjectStore(), [100.0]
-    first, second, third = (Contender(store, true, name) for name in "abc")
+    """A paused holder runs again, observes the next holder, and stops."""
+    store, true_s = memory.MemoryObjectStore(), [100.0]
+    first, second, third = (Contender(store, true_s, name) for name in "abc")
     await first.reconcile()
     for contender in (second, third):
         await contender.reconcile()
-    true[0] += ENOUGH_S
+    true_s[0] += TAKEOVER_S
     await second.reconcile()
-    found = await store.get(holder.KIND, "weights", timeout_s=1)
-    first.holder.observe(found, first.clock())
+    stored = await store.get(holder.KIND, "weights", timeout_s=1)
+    first.holder.observe(stored, first.clock())
     await first.holder.release()
     await third.reconcile()
-    assert second.held() and not third.held()
+    assert second.lease() and not third.lease()
--- a/toucanrudder/leases/tests/test_restored_stores.py
+++ b/toucanrudder/leases/tests/test_restored_stores.py
@@ -1,4 +1,4 @@
-"""Leases in a store that comes back from an older copy, on virtual time."""
+"""Leases in a store that is restored from an older copy, in virtual time."""
 
 import asyncio
 import contextlib
@@ -15,19 +15,19 @@
 
 NAMES = ("a", "b", "c", "d")
 LEASE = "orders"
-TERMS = decision.timing_for_failover(3.0)
-DAY_S = 40.0
-LOOK_S = 0.01
+TIMING = decision.timing_for_failover(3.0)
+RUN_S = 40.0
+CHECK_INTERVAL_S = 0.01
 
-FAILED = (
+STORE_ERRORS = (
     interface.ConditionFailed,
     interface.StoreUnavailable,
     interface.OutcomeUnknown,
 )
 
 
-class Day:
-    """Processes that want one lease, and what happens to the store."""
+class Scenario:
+    """Processes that compete for one lease, and events of the store."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -39,32 +39,32 @@
                 LEASE,
                 name,
                 clock=self.now_s,
-                timing=TERMS,
+                timing=TIMING,
                 timeout_s=0.5,
             )
             for name in NAMES
         }
         self.copies = [self.store.copied()]
 
-    async def contend(self, found):
-        """Look at the lease, again and again, and give it up now and then."""
+    async def contend(self, contender):
+        """Reconcile the lease repeatedly, and release it now and then."""
         while True:
             await asyncio.sleep(self.rng.uniform(0.2, 0.9))
-            with contextlib.suppress(*FAILED):
+            with contextlib.suppress(*STORE_ERRORS):
                 if self.rng.random() < 0.1:
-                    await found.release()
+                    await contender.release()
                 else:
-                    await found.reconcile()
+                    await contender.reconcile()
 
-    async def other_writes(self):
-        """Let revisions rise, and copy the store."""
+    async def write_other_objects(self):
+        """Increase the revision of the store, and take copies of it."""
         while True:
             await asyncio.sleep(self.rng.expovariate(4.0))
             self.store.put("other", "object", self.rng.random())
             self.copies.append(self.store.copied())
 
     async def restore(self):
-        """Come back from a copy some seconds old, after a short outage."""
+        """Restore the store from a copy some seconds old, after an outage."""
         while True:
             await asyncio.sleep(self.rng.uniform(5.0, 12.0))
             for name in NAMES:
@@ -75,56 +75,58 @@
             for name in NAMES:
                 self.store.treat(name, stores.Way.WELL)
 
-    async def judged(self):
-        """Return what was broken, by rule."""
-        broken, given = set(), {}
-        while self.now_s() < DAY_S:
-            await asyncio.sleep(LOOK_S)
+    async def violations(self):
+        """Return the violated rules, and the number of fencing numbers."""
+        violated, holder_of = set(), {}
+        while self.now_s() < RUN_S:
+            await asyncio.sleep(CHECK_INTERVAL_S)
             held = {
                 name: lease.fencing
                 for name, each in self.holders.items()
                 if (lease := each.current_lease(self.now_s()))
             }
             if len(held) > 1:
-                broken.add("two hold it")
+                violated.add("two holders at once")
             for name, fencing in held.items():
-                if given.setdefault(fencing, name) != name:
-                    broken.add("a number is given out twice")
-        return broken, len(given)
+                if holder_of.setdefault(fencing, name) != name:
+                    violated.add("a fencing number is issued twice")
+        return violated, len(holder_of)
 
-    async def run(self, disturbed_by):
-        doing = [
+    async def run(self, disturbances):
+        tasks = [
             asyncio.ensure_future(each)
             for each in (
                 *(self.contend(each) for each in self.holders.values()),
-                *(each(self) for each in disturbed_by),
+                *(disturb(self) for disturb in disturbances),
             )
         ]
         try:
-            return await self.judged()
+            return await self.violations()
         finally:
-            for each in doing:
-                each.cancel()
+            for task in tasks:
+                task.cancel()
 
 
-async def lived(seed, disturbed_by):
-    return await Day(seed).run(disturbed_by)
+async def run_scenario(seed, disturbances):
+    return await Scenario(seed).run(disturbances)
 
 
 @pytest.mark.parametrize(
-    "disturbed_by",
+    "disturbances",
     [
-        pytest.param((Day.other_writes,), id="calm"),
-        pytest.param((Day.other_writes, Day.restore), id="restored"),
+        pytest.param((Scenario.write_other_objects,), id="calm"),
+        pytest.param(
+            (Scenario.write_other_objects, Scenario.restore), id="restored"
+        ),
     ],
 )
-def test_one_holder_at_a_time_in_a_store_that_comes_back_older(disturbed_by):
-    """Two processes hold one lease, or one fencing number, after a restore."""
-    broken = {}
+def test_one_holder_at_a_time_after_a_restore(disturbances):
+    """After a restore two processes hold one lease, or one fencing number."""
+    violated_by_seed = {}
     for seed in range(40):
-        day = functools.partial(lived, seed, disturbed_by)
-        found, numbers = timing.run(day)
-        assert numbers
-        if found:
-            broken[seed] = found
-    assert broken == {}
+        scenario = functools.partial(run_scenario, seed, disturbances)
+        violated, fencing_numbers = timing.run(scenario)
+        assert fencing_numbers
+        if violated:
+            violated_by_seed[seed] = violated
+    assert violated_by_seed == {}
--- a/toucanrudder/leases/weights.py
+++ b/toucanrudder/leases/weights.py
@@ -1,4 +1,4 @@
-"""Which engine is to load which weights next.  No I/O."""
+"""Plans which engine loads which weights next.  No I/O."""
 
 from collections.abc import Mapping
 
@@ -7,7 +7,7 @@
 from toucanrudder.document import model
 from toucanrudder.upstreams import loads
 
-#: Time for which an order counts as under way although the engine's
+#: Seconds for which an order counts as in progress although the engine's
 #: report does not show it yet.
 ORDER_PENDING_S = 15.0
 
@@ -17,20 +17,20 @@
 
 @attrs.frozen
 class Order:
-    """An order to one engine to have certain weights.
+    """An order to one engine to serve a version of a model's weights.
 
-    It names a state, so carrying it out twice is the same as once.
+    It names the desired state, so it is idempotent.
 
     Parameters
     ----------
     upstream : model.Upstream
         The engine.
     incarnation : str
-        Its process, as reported.
+        Identity of the engine's process, as reported.
     model : str
-        Model's name.
+        Name of the model.
     weights_version : str
-        What it must have.
+        Version that the engine must have.
     """
 
     upstream: model.Upstream
@@ -40,7 +40,7 @@
 
     @property
     def order_id(self) -> str:
-        """Identity; the same for a repetition."""
+        """Identity of the order; a repeated order has the same."""
         return ".".join(
             (
                 self.upstream.name,
@@ -51,18 +51,18 @@
         )
 
 
-def _missing(
+def _missing_orders(
     document: model.Document, reports: Mapping[str, loads.LoadReport]
 ) -> list[Order]:
-    wanted = {each.name: each.weights_version for each in document.models}
+    desired = {each.name: each.weights_version for each in document.models}
     return [
-        Order(upstream, report.incarnation, name, wanted[name])
+        Order(upstream, report.incarnation, name, desired[name])
         for upstream in document.upstreams
         if upstream.kind == model.ENGINE
         and (report := reports.get(upstream.name)) is not None
         and report.state == LIVE
         for name in upstream.models
-        if report.models.get(name) != wanted[name]
+        if report.models.get(name) != desired[name]
     ]
 
 
@@ -77,67 +77,69 @@
     Parameters
     ----------
     document : model.Document
-        Says which weights engines must have.
+        Configuration; sets the weights that engines must have.
     reports : mapping of str to LoadReport
-        Fresh reports, by upstream.
+        Fresh load reports, by upstream.
     ordered_s : mapping of str to float
-        When an order was last given, by upstream.
+        Monotonic time of the last order, by upstream.
     now_s : float
         Monotonic time.
 
     Returns
     -------
     tuple of Order
-        At most one for an engine.  Together with the loads under way
-        they are no more than the policy allows, and while any engine is
-        live, one stays so.
+        At most one per engine.  Together with the loads in progress they
+        do not exceed the policy's limit, and while any engine is live, at
+        least one stays live.
     """
     engines = [
-        each for each in document.upstreams if each.kind == model.ENGINE
+        upstream
+        for upstream in document.upstreams
+        if upstream.kind == model.ENGINE
     ]
-    recent = {
-        each.name
-        for each in engines
-        if now_s - ordered_s.get(each.name, float("-inf")) < ORDER_PENDING_S
-        and _is_open(each, document, reports)
+    pending = {
+        engine.name
+        for engine in engines
+        if now_s - ordered_s.get(engine.name, float("-inf")) < ORDER_PENDING_S
+        and _may_lack_weights(engine, document, reports)
     }
-    loading = recent | {
-        each.name
-        for each in engines
-        if each.name in reports and reports[each.name].state == LOADING
+    loading = pending | {
+        engine.name
+        for engine in engines
+        if engine.name in reports and reports[engine.name].state == LOADING
     }
     live = sum(
-        each.name in reports
-        and reports[each.name].state == LIVE
-        and each.name not in loading
-        for each in engines
+        engine.name in reports
+        and reports[engine.name].state == LIVE
+        and engine.name not in loading
+        for engine in engines
     )
-    room = document.policy.weight_loads_at_once - len(loading)
-    # A single engine has to be taken: there is no other way.
-    room = min(room, live - 1 if loading else max(1, live - 1))
+    free_slots = document.policy.weight_loads_at_once - len(loading)
+    # A single live engine has to reload although none is left meanwhile.
+    free_slots = min(free_slots, live - 1 if loading else max(1, live - 1))
     candidates: dict[str, Order] = {}
-    for order in _missing(document, reports):
+    for order in _missing_orders(document, reports):
         if order.upstream.name not in loading:
             candidates.setdefault(order.upstream.name, order)
-    # Least busy first: an engine ends its work before it loads.
-    chosen = sorted(
+    # Least busy first: an engine finishes its requests before it loads.
+    ordered = sorted(
         candidates.values(),
         key=lambda order: (
             reports[order.upstream.name].running,
             order.upstream.name,
         ),
     )
-    return tuple(chosen[: max(0, room)])
+    return tuple(ordered[: max(0, free_slots)])
 
 
-def _is_open(
+def _may_lack_weights(
     upstream: model.Upstream,
     document: model.Document,
     reports: Mapping[str, loads.LoadReport],
 ) -> bool:
-    """Say whether the engine still lacks weights, or cannot be asked."""
+    """Return whether the engine lacks weights, or has no fresh report."""
     report = reports.get(upstream.name)
     if report is None:
         return True
-    wanted = {each.name: each.weights_version for each in document.models}
-    return any(report.models.get(n) != wanted[n] for n in upstream.models)
+    desired = {each.name: each.weights_version for each in document.models}
+    return any(report.models.get(n) != desired[n] for n in upstream.models)
