--- a/toucanrudder/claims/__init__.py
+++ b/toucanrudder/claims/__init__.py
@@ -1,4 +1,4 @@
-"""At-most-once execution of requests that may not be repeated."""
+"""At-most-once execution of requests that must not be repeated."""
 
 from toucanrudder.claims.decision import Limits
 from toucanrudder.claims.keeper import Claim
--- a/toucanrudder/claims/decision.py
+++ b/toucanrudder/claims/decision.py
@@ -1,4 +1,4 @@
-"""What to do about a request that may run at most once.  No I/O."""
+"""Decides whether a request that may run at most once may run.  No I/O."""
 
 import attrs
 
@@ -8,33 +8,33 @@
 
 @attrs.frozen
 class Create:
-    """Create the claim, on condition that there is none."""
+    """Create the claim, on condition that none exists."""
 
 
 @attrs.frozen
 class TakeOver:
-    """Replace a claim that was never dispatched, if it has `version`."""
+    """Replace a claim that was never dispatched, on condition of `version`."""
 
     version: int
 
 
 @attrs.frozen
 class Hold:
-    """This attempt holds the claim, at `version`."""
+    """This attempt holds the claim, which has `version`."""
 
     version: int
 
 
 @attrs.frozen
 class Replay:
-    """The request ran before; `result` is its retained answer."""
+    """The request ran before; `result` is its retained response."""
 
     result: record.Result
 
 
 @attrs.frozen
 class Refuse:
-    """The request is refused; the fields are those of the error."""
+    """Refuse the request; the fields are those of the error."""
 
     code: codes.Code
     message: str
@@ -47,17 +47,18 @@
 
 @attrs.frozen
 class Limits:
-    """The bounds of a claim's life.
+    """Time limits of a claim.
 
     Parameters
     ----------
     dispatch_within_s : float
-        Age by which the holder must have dispatched, or never does.
+        Age in seconds up to which the holder may dispatch the request.
     reported_running_s : float
-        Age up to which a started request is reported as running; past it,
-        as of unknown outcome.
+        Age in seconds up to which a started request is reported as running;
+        beyond it, its outcome is reported as unknown.
     retry_after_s : float
-        When a caller should ask again for a running request's result.
+        Seconds after which a caller should ask again for the result of a
+        running request.
     """
 
     dispatch_within_s: float = 10.0
@@ -66,98 +67,102 @@
 
 
 def decide(
-    found: record.Found | None,
+    stored: record.StoredClaim | None,
     attempt: str,
     body_sha256: str,
     never_dispatched: frozenset[str],
     now_unix_s: float,
     limits: Limits,
 ) -> Action:
-    """Decide by the claim in the store.
+    """Return the next action, given the claim in the store.
 
     Parameters
     ----------
-    found : Found or None
-        The claim as read, or None when there is none.
+    stored : StoredClaim or None
+        Claim as read, or None when there is none.
     attempt : str
-        Identity of this try.
+        Identity of this attempt.
     body_sha256 : str
-        Digest of what is asked for.
+        Digest of the request.
     never_dispatched : frozenset of str
-        Attempts that this router gave up before dispatch and will never
+        Attempts that this router abandoned before dispatch and will never
         dispatch, whatever the store still says about them.
     now_unix_s : float
-        Wall clock; it only chooses between two words for the same doubt.
+        Wall clock; only selects whether an unfinished request is reported
+        as running or as of unknown outcome.
     limits : Limits
-        Bounds.
+        Time limits of a claim.
 
     Returns
     -------
     Create, TakeOver, Hold, Replay or Refuse
-        The next step.
+        Next action.
     """
-    if found is None:
+    if stored is None:
         return Create()
-    held = found.record
-    if held is None:
-        return _unknown("a claim that this version cannot read")
-    if held.attempt == attempt:
-        return Hold(found.version)
-    if held.body_sha256 != body_sha256:
+    existing = stored.record
+    if existing is None:
+        return _unknown_outcome("a claim that this version cannot read")
+    if existing.attempt == attempt:
+        return Hold(stored.version)
+    if existing.body_sha256 != body_sha256:
         return Refuse(
             codes.Code.IDEMPOTENCY_KEY_REUSED,
-            "the idempotency key belongs to a request with other content",
+            "the idempotency key belongs to a request with different content",
             codes.Ran.NOT_RUN,
         )
-    if held.state is record.State.DONE:
-        return _done(held)
-    if held.state is record.State.NOT_RUN or held.attempt in never_dispatched:
-        return TakeOver(found.version)
-    if now_unix_s - held.created_unix_s < limits.reported_running_s:
+    if existing.state is record.State.DONE:
+        return _finished(existing)
+    if (
+        existing.state is record.State.NOT_RUN
+        or existing.attempt in never_dispatched
+    ):
+        return TakeOver(stored.version)
+    if now_unix_s - existing.created_unix_s < limits.reported_running_s:
         return Refuse(
             codes.Code.ALREADY_STARTED,
-            "the request was started by an earlier try",
+            "the request was started by an earlier attempt",
             codes.Ran.UNKNOWN,
             limits.retry_after_s,
         )
-    return _unknown("an earlier try that left no result")
+    return _unknown_outcome("an earlier attempt that left no result")
 
 
-def _done(held: record.Record) -> Action:
-    if held.result is not None:
-        return Replay(held.result)
+def _finished(existing: record.Record) -> Action:
+    if existing.result is not None:
+        return Replay(existing.result)
     return Refuse(
         codes.Code.ALREADY_DONE,
-        "the request ran; its answer was too large to keep",
+        "the request ran; its response was too large to retain",
         codes.Ran.DONE,
     )
 
 
-def _unknown(why: str) -> Refuse:
+def _unknown_outcome(owner: str) -> Refuse:
     return Refuse(
         codes.Code.OUTCOME_UNKNOWN,
-        f"the key belongs to {why}",
+        f"the idempotency key belongs to {owner}",
         codes.Ran.UNKNOWN,
     )
 
 
 def may_dispatch(claimed_at_s: float, now_s: float, limits: Limits) -> bool:
-    """Tell whether a claim is young enough to dispatch.
+    """Return whether a claim is recent enough for its dispatch.
 
-    A router that is paused after its claim may wake when the claim has
-    been reaped and the caller's resend has run under a new one.  Its own
-    dispatch would be the second run.  Claims are reaped at an age far
-    beyond `dispatch_within_s`, so that a holder that passes this check
-    dispatches while its claim still stands.
+    A router that was paused after its claim may resume when the claim has
+    been reaped and a retry of the request has run under a new claim.  Its
+    own dispatch would be the second run.  Claims are reaped at an age far
+    beyond `dispatch_within_s`, so a holder that passes this check
+    dispatches while its claim still exists.
 
     Parameters
     ----------
     claimed_at_s : float
         Time before the claim's write was sent, by `toucanrudder.clock`.
     now_s : float
-        The present time by the same clock.
+        Current time by the same clock.
     limits : Limits
-        Bounds.
+        Time limits of a claim.
 
     Returns
     -------
--- a/toucanrudder/claims/keeper.py
+++ b/toucanrudder/claims/keeper.py
@@ -1,4 +1,4 @@
-"""Acquires, finishes and releases claims in the object store."""
+"""Acquires, completes and releases claims in the object store."""
 
 import asyncio
 import collections
@@ -26,7 +26,7 @@
 BACKOFF_S = (0.1, 5.0)
 
 
-def _outcome(name: str) -> None:
+def _count_outcome(name: str) -> None:
     metrics.counter("toucanrudder_claims", "Claims by outcome").add(
         1, {"outcome": name}
     )
@@ -34,9 +34,9 @@
 
 @attrs.define(eq=False)
 class Claim:
-    """The right of one attempt to dispatch one request.
+    """Right of one attempt to dispatch one request.
 
-    Made by :meth:`ClaimKeeper.acquire`.
+    Returned by :meth:`ClaimKeeper.acquire`.
     """
 
     keeper: "ClaimKeeper" = attrs.field(repr=False)
@@ -47,30 +47,30 @@
     dispatched: bool = False
 
     def check(self, now_s: float) -> None:
-        """Call right before each dispatch; marks the claim dispatched.
+        """Mark the claim dispatched; call right before each dispatch.
 
         Parameters
         ----------
         now_s : float
-            The present time by `toucanrudder.clock`.
+            Current time by `toucanrudder.clock`.
 
         Raises
         ------
         RudderError
-            ``claim_expired``: the claim is too old; nothing was sent
-            by this call.
+            ``claim_expired``: the claim is too old; this dispatch must
+            not be sent.
         """
         limits = self.keeper.limits
-        # Once released, another router may hold the claim: a dispatch
-        # under it here would be the second run.
+        # After a release another router may hold the claim, and a dispatch
+        # here would be a second run.
         released = self.record.state is not record.State.STARTED
         if released or not decision.may_dispatch(
             self.claimed_at_s, now_s, limits
         ):
-            _outcome("expired")
+            _count_outcome("expired")
             raise errors.RudderError(
                 errors.Code.CLAIM_EXPIRED,
-                "the claim became too old before its dispatch",
+                "the claim expired before its dispatch",
                 step=STEP,
                 ran=(
                     errors.Ran.UNKNOWN
@@ -82,61 +82,62 @@
         self.dispatched = True
 
     def mark_not_dispatched(self) -> None:
-        """Note proof that the last dispatch reached no upstream."""
+        """Record proof that the last dispatch reached no upstream."""
         self.dispatched = False
 
     async def finish(self, result: record.Result | None) -> None:
-        """Store the upstream's answer for later tries of the request.
+        """Store the upstream's response for later attempts.
 
-        None says that the request ran and its answer is too large to keep.
+        None means that the request ran and its response is too large to
+        retain.
 
-        Waits for the store for a short time only; past it the answer is
-        stored in the background.  A router that dies in between leaves
+        Waits for the store for a short time only; after that the response
+        is stored in the background.  A router that dies in between leaves
         the claim started, which reads as an unknown outcome.
         """
-        kept = result
+        retained = result
         if result and len(result.body) > self.keeper.max_result_bytes:
-            kept = None
+            retained = None
         self.record = attrs.evolve(
-            self.record, state=record.State.DONE, result=kept
+            self.record, state=record.State.DONE, result=retained
         )
-        await self.keeper.settle(self.name, self.record, self.version)
+        await self.keeper.write_final(self.name, self.record, self.version)
 
     async def release(self) -> None:
-        """Let the next try run; call only with proof that nothing ran."""
+        """Let the next attempt run; call only with proof that nothing ran."""
         self.dispatched = False
         self.record = attrs.evolve(self.record, state=record.State.NOT_RUN)
-        await self.keeper.abandon(self.name, self.record)
+        await self.keeper.mark_not_run(self.name, self.record)
 
 
 @attrs.frozen
-class _Pending:
+class _PendingWrite:
     name: str
     record: record.Record
     version: int | None
 
 
 class ClaimKeeper:
-    """Claims of this router, through the object store.
+    """Manages the claims of this router in the object store.
 
     Parameters
     ----------
     objects : store.ObjectStore
-        Where the claims live.
+        Store that holds the claims.
     router : str
         Name of this router.
     timeout_s : float
-        Time that one call to the store may take.
+        Timeout of one store call in seconds.
     save_within_s : float
-        Time for which an answer waits for its claim's last write.
+        Seconds for which a response waits for the final write of its claim.
     limits : decision.Limits
-        Bounds of a claim's life.
+        Time limits of a claim.
     max_result_bytes : int
         Largest body that is retained.
     rng : random.Random
         Source of backoff jitter.
-    wall_s : callable
-        Wall clock, for the stamp in the record.
+    wall_clock : callable
+        Wall clock in seconds, for the timestamp in the record.
     """
 
     def __init__(
@@ -149,7 +150,7 @@
         limits: decision.Limits = decision.Limits(),
         max_result_bytes: int = MAX_RESULT_BYTES,
         rng: random.Random | None = None,
-        wall_s=time.time,
+        wall_clock=time.time,
     ):
         self.limits = limits
         self.max_result_bytes = max_result_bytes
@@ -158,33 +159,33 @@
         self._timeout_s = timeout_s
         self._save_within_s = save_within_s
         self._rng = rng or random.Random()
-        self._wall_s = wall_s
+        self._wall_clock = wall_clock
         self._never_dispatched: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
-        self._pending: collections.deque[_Pending] = collections.deque()
+        self._pending: collections.deque[_PendingWrite] = collections.deque()
         self._worker: asyncio.Task | None = None
 
     async def acquire(
         self, organisation: str, key: str, body_sha256: str, now_s: float
     ) -> Claim | decision.Replay:
-        """Claim the request, or learn what became of its earlier try.
+        """Claim the request, or return the result of an earlier attempt.
 
         Parameters
         ----------
         organisation : str
-            Whose request it is.
+            Organisation that sent the request.
         key : str
-            The caller's idempotency key.
+            Idempotency key of the caller.
         body_sha256 : str
-            Digest of all that makes the request: method, path and body.
+            Digest of the request: method, path and body.
         now_s : float
-            The present time by `toucanrudder.clock`.
+            Current time by `toucanrudder.clock`.
 
         Returns
         -------
         Claim or decision.Replay
-            The right to dispatch, or the retained answer.
+            Right to dispatch, or the retained response.
 
         Raises
         ------
@@ -193,26 +194,26 @@
             ``outcome_unknown``, ``already_done`` or
             ``idempotency_key_reused``.
         """
-        name = record.name_of(organisation, key)
+        name = record.object_name(organisation, key)
         wanted = record.Record(
             attempt=uuid.uuid4().hex,
             body_sha256=body_sha256,
             state=record.State.STARTED,
             router=self._router,
-            created_unix_s=self._wall_s(),
+            created_unix_s=self._wall_clock(),
         )
-        trial = _Trial()
+        progress = _WriteProgress()
         try:
-            action = await self._settle_claim(name, wanted, trial)
+            action = await self._resolve(name, wanted, progress)
         except (Exception, asyncio.CancelledError):
-            # Also when the caller leaves: a write that was under way may
-            # still take effect.  Left alone it would read as started for
-            # the whole retention, though nothing will ever be sent.
-            if trial.wrote:
-                self._abandon_later(name, wanted)
+            # Also when the caller disconnects: a write in flight may still
+            # take effect.  The claim would then read as started for the
+            # whole retention, although it will never be dispatched.
+            if progress.may_have_written:
+                self._mark_not_run_later(name, wanted)
             raise
         if isinstance(action, decision.Refuse):
-            _outcome(action.code.value)
+            _count_outcome(action.code.value)
             raise errors.RudderError(
                 action.code,
                 action.message,
@@ -222,55 +223,55 @@
                 retry_after_s=action.retry_after_s,
             )
         if isinstance(action, decision.Replay):
-            _outcome("replayed")
+            _count_outcome("replayed")
             return action
-        _outcome("acquired")
+        _count_outcome("acquired")
         return Claim(self, name, wanted, action.version, now_s)
 
-    async def _settle_claim(
-        self, name: str, wanted: record.Record, trial: "_Trial"
+    async def _resolve(
+        self, name: str, wanted: record.Record, progress: "_WriteProgress"
     ) -> decision.Hold | decision.Replay | decision.Refuse:
         action: decision.Action = decision.Create()
         for _ in range(MAX_ROUNDS):
-            written = await self._write(name, wanted, action, trial)
-            if written is not None:
-                return decision.Hold(written)
-            found = await self._read(name)
+            version = await self._write(name, wanted, action, progress)
+            if version is not None:
+                return decision.Hold(version)
+            stored = await self._read(name)
             action = decision.decide(
-                found,
+                stored,
                 wanted.attempt,
                 wanted.body_sha256,
                 frozenset(self._never_dispatched),
-                self._wall_s(),
+                self._wall_clock(),
                 self.limits,
             )
             if not isinstance(action, decision.Create | decision.TakeOver):
                 return action
-        raise self._unavailable("the claim's write could not be settled")
+        raise self._unavailable("the outcome of its write is unknown")
 
     async def _write(
         self,
         name: str,
         wanted: record.Record,
         action: decision.Create | decision.TakeOver,
-        trial: "_Trial",
+        progress: "_WriteProgress",
     ) -> int | None:
-        """Try the write; None means that only a read can tell."""
-        before = trial.wrote
-        trial.wrote = True
+        """Write the claim; return its version, or None if a read must tell."""
+        had_written = progress.may_have_written
+        progress.may_have_written = True
         try:
             return await self._put(name, wanted, action)
         except interface.ConditionFailed:
-            trial.wrote = before
+            progress.may_have_written = had_written
             return None
         except interface.OutcomeUnknown:
-            # The write may have taken effect.  The next read tells by the
-            # attempt's identity; no second identity is ever used for it,
-            # so a late copy of this write cannot pass for another try.
-            _outcome("write_unsettled")
+            # The write may have taken effect.  The attempt's identity in
+            # the next read shows it; all writes of an attempt use the same
+            # identity, so a late copy cannot pass for another attempt.
+            _count_outcome("write_unsettled")
             return None
         except interface.StoreUnavailable as error:
-            trial.wrote = before
+            progress.may_have_written = had_written
             raise self._unavailable(str(error)) from error
 
     async def _put(
@@ -292,60 +293,60 @@
             timeout_s=self._timeout_s,
         )
 
-    async def _read(self, name: str) -> record.Found | None:
+    async def _read(self, name: str) -> record.StoredClaim | None:
         try:
-            found = await self._objects.get(
+            stored = await self._objects.get(
                 record.KIND, name, timeout_s=self._timeout_s
             )
         except interface.StoreUnavailable as error:
             raise self._unavailable(str(error)) from error
-        if found is None:
+        if stored is None:
             return None
         try:
-            return record.Found(
-                found.version, record.Record.from_value(found.value)
+            return record.StoredClaim(
+                stored.version, record.Record.from_value(stored.value)
             )
         except (ValueError, KeyError, TypeError):
-            _LOG.warning("claim %s cannot be read", name)
-            return record.Found(found.version, None)
+            _LOG.warning("claim %s has an unreadable value", name)
+            return record.StoredClaim(stored.version, None)
 
-    def _unavailable(self, why: str) -> errors.RudderError:
-        _outcome("store_unavailable")
+    def _unavailable(self, reason: str) -> errors.RudderError:
+        _count_outcome("store_unavailable")
         return errors.RudderError(
             errors.Code.STORE_UNAVAILABLE,
-            f"the request could not be claimed: {why}",
+            f"the request could not be claimed: {reason}",
             step=STEP,
             peer=PEER,
             ran=errors.Ran.NOT_RUN,
             retry_after_s=self.limits.retry_after_s,
         )
 
-    async def abandon(self, name: str, last: record.Record) -> None:
+    async def mark_not_run(self, name: str, final: record.Record) -> None:
         """Mark the claim not run, now or in the background."""
-        self._remember(last.attempt)
-        _outcome("released")
-        # Read first, whatever its version was: a store that has gone back
-        # gives versions out again, also to another attempt's claim.
-        await self.settle(name, last, None)
-
-    def _abandon_later(self, name: str, wanted: record.Record) -> None:
-        self._remember(wanted.attempt)
-        last = attrs.evolve(wanted, state=record.State.NOT_RUN)
-        self._enqueue(_Pending(name, last, None))
-
-    def _remember(self, attempt: str) -> None:
+        self._add_never_dispatched(final.attempt)
+        _count_outcome("released")
+        # Without a version the claim is read first: a restored store issues
+        # versions again, possibly to the claim of another attempt.
+        await self.write_final(name, final, None)
+
+    def _mark_not_run_later(self, name: str, wanted: record.Record) -> None:
+        self._add_never_dispatched(wanted.attempt)
+        final = attrs.evolve(wanted, state=record.State.NOT_RUN)
+        self._enqueue(_PendingWrite(name, final, None))
+
+    def _add_never_dispatched(self, attempt: str) -> None:
         self._never_dispatched[attempt] = None
         if len(self._never_dispatched) > MAX_PENDING:
             self._never_dispatched.popitem(last=False)
 
-    async def settle(
-        self, name: str, last: record.Record, version: int | None
+    async def write_final(
+        self, name: str, final: record.Record, version: int | None
     ) -> None:
-        """Write a claim's last state within the bound, else later."""
-        pending = _Pending(name, last, version)
+        """Write a claim's final state within the time limit, else later."""
+        pending = _PendingWrite(name, final, version)
         try:
             async with asyncio.timeout(self._save_within_s):
-                if await self._settle_once(pending):
+                if await self._try_write_final(pending):
                     return
         except (
             TimeoutError,
@@ -359,16 +360,16 @@
             raise
         self._enqueue(pending)
 
-    async def _settle_once(self, pending: _Pending) -> bool:
-        """Make the stored claim say what `pending` does; True when done."""
+    async def _try_write_final(self, pending: _PendingWrite) -> bool:
+        """Write the pending state once; return True when it is settled."""
         version = pending.version
         if version is None:
-            found = await self._objects.get(
+            stored = await self._objects.get(
                 record.KIND, pending.name, timeout_s=self._timeout_s
             )
-            if found is None:
-                # The claim's own write may still be under way.  A claim
-                # created here, on condition, makes it fail when it comes.
+            if stored is None:
+                # The claim's own write may still be in flight.  Creating
+                # the claim here, on condition, makes that write fail.
                 await self._objects.create(
                     record.KIND,
                     pending.name,
@@ -376,9 +377,9 @@
                     timeout_s=self._timeout_s,
                 )
                 return True
-            if not _is_started(found.value, pending.record.attempt):
+            if not _is_started(stored.value, pending.record.attempt):
                 return True
-            version = found.version
+            version = stored.version
         await self._objects.update(
             record.KIND,
             pending.name,
@@ -388,22 +389,22 @@
         )
         return True
 
-    def _enqueue(self, pending: _Pending) -> None:
+    def _enqueue(self, pending: _PendingWrite) -> None:
         if len(self._pending) >= MAX_PENDING:
-            # Bounded memory in a long outage.  A dropped claim stays
-            # started and reads as an unknown outcome, which is true.
+            # Bounds memory in a long outage.  A dropped claim stays started
+            # and reads as an unknown outcome, which is correct.
             self._pending.popleft()
-            _outcome("settling_dropped")
+            _count_outcome("settling_dropped")
         self._pending.append(attrs.evolve(pending, version=None))
         if self._worker is None or self._worker.done():
-            self._worker = asyncio.create_task(self._work())
+            self._worker = asyncio.create_task(self._write_pending())
 
-    async def _work(self) -> None:
+    async def _write_pending(self) -> None:
         delay_s = BACKOFF_S[0]
         while self._pending:
             pending = self._pending[0]
             try:
-                await self._settle_once(pending)
+                await self._try_write_final(pending)
             except (
                 interface.StoreUnavailable,
                 interface.OutcomeUnknown,
@@ -413,16 +414,18 @@
                 delay_s = min(delay_s * 2, BACKOFF_S[1])
                 continue
             except Exception:
-                _LOG.exception("claim %s could not be settled", pending.name)
-                _outcome("settling_dropped")
+                _LOG.exception(
+                    "writing the final state of claim %s failed", pending.name
+                )
+                _count_outcome("settling_dropped")
             else:
-                _outcome("settled_later")
+                _count_outcome("settled_later")
             delay_s = BACKOFF_S[0]
             if self._pending and self._pending[0] is pending:
                 self._pending.popleft()
 
     async def drain(self, timeout_s: float) -> int:
-        """Wait for background writes; return how many are left."""
+        """Wait for background writes; return the number still pending."""
         if self._worker is not None:
             await asyncio.wait([self._worker], timeout=timeout_s)
             self._worker.cancel()
@@ -430,10 +433,10 @@
 
 
 @attrs.define
-class _Trial:
-    """Whether a write of this attempt may have reached the store."""
+class _WriteProgress:
+    """Whether a write of an attempt may have taken effect in the store."""
 
-    wrote: bool = False
+    may_have_written: bool = False
 
 
 def _is_started(value: dict, attempt: str) -> bool:
--- a/toucanrudder/claims/reaper.py
+++ b/toucanrudder/claims/reaper.py
@@ -1,4 +1,4 @@
-"""Deletes claims whose time is over, a few at a time."""
+"""Deletes expired claims at a limited rate."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,48 +18,48 @@
 
 _LOG = logging.getLogger(__name__)
 
-PAGE = 100
+PAGE_SIZE = 100
 DELETES_PER_S = 20.0
-PASS_S = 60.0
-SKEW_S = 600.0
-WATCHED_S = 300.0
-MAX_SIGHTINGS = 20_000
+PASS_INTERVAL_S = 60.0
+CLOCK_SKEW_S = 600.0
+MIN_OBSERVED_S = 300.0
+MAX_TRACKED = 20_000
 
 
 @attrs.frozen
-class Sighting:
-    """When this router first saw a claim at a version."""
+class FirstObservation:
+    """When this router first observed a claim at `version`."""
 
     version: int
     at_s: float
 
 
-def is_over(
-    found: store.StoredObject,
-    seen: Mapping[str, Sighting],
+def is_expired(
+    stored: store.StoredObject,
+    observed: Mapping[str, FirstObservation],
     retention_s: float,
     now_s: float,
     now_unix_s: float,
 ) -> bool:
-    """Tell whether a claim may be deleted.
+    """Return whether a claim may be deleted.
 
     Two clocks must agree.  By the wall clock the claim must be older than
-    the retention and a margin for clocks that differ.  A wall clock that
-    jumps would still make every claim look old, also one whose holder is
-    about to dispatch: so this router must itself have watched the claim
-    unchanged, by a clock that nobody sets, for far longer than a holder
+    the retention plus a margin for clock skew.  A jump of the wall clock
+    would make every claim look old, even one whose holder is about to
+    dispatch.  This router must therefore also have observed the claim
+    unchanged, by a clock that cannot be set, for far longer than a holder
     may take to dispatch.
 
     Parameters
     ----------
-    found : store.StoredObject
-        The claim as listed.
-    seen : mapping of str to Sighting
-        First sightings, by name.
+    stored : store.StoredObject
+        Claim as listed.
+    observed : mapping of str to FirstObservation
+        First observations of claims, by name.
     retention_s : float
-        Time for which a claim must be kept.
+        Seconds for which a claim must be kept.
     now_s : float
-        The present time by `toucanrudder.clock`.
+        Current time by `toucanrudder.clock`.
     now_unix_s : float
         Wall clock.
 
@@ -68,36 +68,36 @@
     bool
         Whether it may be deleted.
     """
-    sighting = seen.get(found.name)
-    if sighting is None or sighting.version != found.version:
+    first_seen = observed.get(stored.name)
+    if first_seen is None or first_seen.version != stored.version:
         return False
-    if now_s - sighting.at_s < WATCHED_S:
+    if now_s - first_seen.at_s < MIN_OBSERVED_S:
         return False
     try:
-        created_s = float(found.value["created_unix_s"])
+        created_s = float(stored.value["created_unix_s"])
     except (KeyError, TypeError, ValueError):
         return False
-    return now_unix_s - created_s > retention_s + SKEW_S
+    return now_unix_s - created_s > retention_s + CLOCK_SKEW_S
 
 
 class Reaper:
-    """Goes through the claims, page by page, and deletes what is over.
+    """Lists claims page by page and deletes those that have expired.
 
-    Deletes are conditional on the version that was judged, so a claim
-    that was taken over meanwhile stays, and two routers that both think
-    it is their turn do no harm.
+    Deletes are conditional on the version that was checked, so a claim
+    that was taken over meanwhile stays, and two routers that both consider
+    themselves elected do no harm.
 
     Parameters
     ----------
     objects : store.ObjectStore
-        Where the claims live.
+        Store that holds the claims.
     retention_s : callable
-        Returns the configured retention, seconds.
+        Returns the configured retention in seconds.
     is_elected : callable
-        Whether this router is the one to reap; the live router with the
-        least name is enough.
+        Returns whether this router reaps; electing the live router with
+        the least name is sufficient.
     timeout_s : float
-        Time that one call to the store may take.
+        Timeout of one store call in seconds.
     rng : random.Random
         Source of jitter between passes.
     """
@@ -116,93 +116,102 @@
         self._is_elected = is_elected
         self._timeout_s = timeout_s
         self._rng = rng or random.Random()
-        self._seen: dict[str, Sighting] = {}
+        self._observed: dict[str, FirstObservation] = {}
 
     async def run(self) -> None:
-        """Make a pass now and then, for ever."""
+        """Make passes until cancelled, while this router is elected."""
         while True:
-            await asyncio.sleep(PASS_S * self._rng.uniform(0.5, 1.5))
+            await asyncio.sleep(PASS_INTERVAL_S * self._rng.uniform(0.5, 1.5))
             if not self._is_elected():
-                self._seen.clear()
+                self._observed.clear()
                 continue
             try:
                 await self.reap(clock.now_s, time.time)
             except (interface.StoreUnavailable, interface.OutcomeUnknown):
-                _LOG.info("claims are not reaped: the store is unavailable")
+                _LOG.info("store is unavailable; claims are not reaped")
             except Exception:
-                _LOG.exception("claims could not be reaped")
+                _LOG.exception("reaping claims failed")
 
     async def reap(
         self,
-        boot_s: Callable[[], float],
-        wall_s: Callable[[], float],
+        boot_clock: Callable[[], float],
+        wall_clock: Callable[[], float],
         pause_s: float = 1.0 / DELETES_PER_S,
     ) -> int:
         """Make one pass over all claims.
 
         Parameters
         ----------
-        boot_s : callable
-            The clock of `toucanrudder.clock`; a pass may take long, so each
-            page is judged by the time at which it came.
-        wall_s : callable
-            Wall clock.
+        boot_clock : callable
+            Clock of `toucanrudder.clock`, in seconds.  A pass may take
+            long, so each page is checked against the time it was read.
+        wall_clock : callable
+            Wall clock, in seconds.
         pause_s : float
-            Time between two calls.
+            Seconds between two store calls.
 
         Returns
         -------
         int
-            Claims deleted.
+            Number of claims deleted.
         """
         deleted = 0
-        seen: dict[str, Sighting] = {}
+        observed: dict[str, FirstObservation] = {}
         after = ""
         while page := await self._page(after):
-            now_s, now_unix_s = boot_s(), wall_s()
-            for found in page:
-                if is_over(
-                    found, self._seen, self._retention_s(), now_s, now_unix_s
+            now_s, now_unix_s = boot_clock(), wall_clock()
+            for stored in page:
+                if is_expired(
+                    stored,
+                    self._observed,
+                    self._retention_s(),
+                    now_s,
+                    now_unix_s,
                 ):
-                    deleted += await self._delete(found)
+                    deleted += await self._delete(stored)
                     await asyncio.sleep(pause_s)
-                elif len(seen) < MAX_SIGHTINGS and self._may_end_soon(
-                    found, now_unix_s
+                elif len(observed) < MAX_TRACKED and self._expires_soon(
+                    stored, now_unix_s
                 ):
-                    seen[found.name] = self._sighting(found, now_s)
+                    observed[stored.name] = self._first_seen(stored, now_s)
             after = page[-1].name
             await asyncio.sleep(pause_s)
-        self._seen = seen
+        self._observed = observed
         return deleted
 
     async def _page(self, after: str) -> Sequence[store.StoredObject]:
         return await self._objects.list(
-            record.KIND, after=after, limit=PAGE, timeout_s=self._timeout_s
+            record.KIND,
+            after=after,
+            limit=PAGE_SIZE,
+            timeout_s=self._timeout_s,
         )
 
-    def _may_end_soon(
-        self, found: store.StoredObject, now_unix_s: float
+    def _expires_soon(
+        self, stored: store.StoredObject, now_unix_s: float
     ) -> bool:
-        # Only claims about to end are remembered: all of a day's claims
-        # would not fit into a small router's memory.
-        created_s = found.value.get("created_unix_s")
+        # Only claims about to expire are tracked: all of a day's claims
+        # would not fit into the memory of a small router.
+        created_s = stored.value.get("created_unix_s")
         if not isinstance(created_s, int | float):
             return False
-        margin_s = SKEW_S - 2 * WATCHED_S
+        margin_s = CLOCK_SKEW_S - 2 * MIN_OBSERVED_S
         return now_unix_s - created_s > self._retention_s() + margin_s
 
-    def _sighting(self, found: store.StoredObject, now_s: float) -> Sighting:
-        known = self._seen.get(found.name)
-        if known is not None and known.version == found.version:
-            return known
-        return Sighting(found.version, now_s)
+    def _first_seen(
+        self, stored: store.StoredObject, now_s: float
+    ) -> FirstObservation:
+        previous = self._observed.get(stored.name)
+        if previous is not None and previous.version == stored.version:
+            return previous
+        return FirstObservation(stored.version, now_s)
 
-    async def _delete(self, found: store.StoredObject) -> int:
+    async def _delete(self, stored: store.StoredObject) -> int:
         try:
             await self._objects.delete(
                 record.KIND,
-                found.name,
-                found.version,
+                stored.name,
+                stored.version,
                 timeout_s=self._timeout_s,
             )
         except interface.ConditionFailed:
@@ -214,19 +223,19 @@
 def least_name_election(
     name: str, live: Callable[[], Sequence[str]]
 ) -> Callable[[], bool]:
-    """Return an `is_elected` by which the least live name reaps.
+    """Return a check that elects the live router with the least name.
 
     Parameters
     ----------
     name : str
-        This router.
+        Name of this router.
     live : callable
         Returns the names of live routers.
 
     Returns
     -------
     callable
-        Whether it is this router's turn.
+        Returns whether this router is elected.
 
     Examples
     --------
--- a/toucanrudder/claims/record.py
+++ b/toucanrudder/claims/record.py
@@ -10,10 +10,10 @@
 
 
 class State(enum.Enum):
-    """What is known about the execution of a claimed request.
+    """Execution state of a claimed request.
 
-    ``STARTED`` covers everything from the claim's creation to its result:
-    whoever reads it must assume that the request may have run.
+    ``STARTED`` covers everything from the claim's creation to its result;
+    a reader must assume that the request may have run.
     """
 
     STARTED = "started"
@@ -23,16 +23,16 @@
 
 @attrs.frozen
 class Result:
-    """An upstream's answer, kept so that a resend gets it.
+    """An upstream's response, retained for retries of the request.
 
     Parameters
     ----------
     status : int
         HTTP status.
     headers : tuple of (str, str)
-        Headers that the caller was given.
+        Headers that the caller received.
     body : bytes
-        Whole body.
+        Complete body.
     """
 
     status: int
@@ -47,17 +47,17 @@
     Parameters
     ----------
     attempt : str
-        Identity of the try that holds the claim.
+        Identity of the attempt that holds the claim.
     body_sha256 : str
-        Digest of what the caller asked for.
+        Digest of the request.
     state : State
-        What is known about the execution.
+        Execution state of the request.
     router : str
-        Router that holds the claim.
+        Name of the router that holds the claim.
     created_unix_s : float
-        Wall clock of that router at the claim's creation.
+        Wall clock of that router at the creation of the claim.
     result : Result or None
-        The retained answer of a ``DONE`` claim; None if it was too large.
+        Retained response of a ``DONE`` claim; None if it was too large.
     """
 
     attempt: str
@@ -91,7 +91,7 @@
         Raises
         ------
         ValueError, KeyError, TypeError
-            The value isn't one that this version can read.
+            This version cannot read the value.
         """
         result = value.get("result")
         if result is not None:
@@ -111,8 +111,8 @@
 
 
 @attrs.frozen
-class Found:
-    """A claim as it was read from the store.
+class StoredClaim:
+    """A claim as read from the store.
 
     `record` is None when this version cannot read the value.
     """
@@ -121,26 +121,26 @@
     record: Record | None
 
 
-def name_of(organisation: str, key: str) -> str:
-    """Return the object name of a claim.
+def object_name(organisation: str, key: str) -> str:
+    """Return the name of a claim object.
 
     Parameters
     ----------
     organisation : str
-        Owner of the idempotency key.
+        Organisation that owns the idempotency key.
     key : str
-        The idempotency key; only its digest leaves the router, since
-        callers put personal data into keys.
+        Idempotency key; only its digest leaves the router, since callers
+        put personal data into keys.
 
     Returns
     -------
     str
-        ``organisation.digest``.  The digest's length is fixed, so no two
-        organisations can meet in one name.
+        ``organisation.digest``.  The digest has a fixed length, so names
+        of different organisations cannot collide.
 
     Examples
     --------
-    >>> name_of("acme", "booking-7")[:12]
+    >>> object_name("acme", "booking-7")[:12]
     'acme.587263d'
     """
     digest = hashlib.sha256(key.encode()).hexdigest()
--- a/toucanrudder/claims/tests/test_at_most_once.py
+++ b/toucanrudder/claims/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Claims under crashes, pauses and lost, late and doubled store calls."""
+"""Claims under crashes, pauses, and lost, late and duplicate store calls."""
 
 import asyncio
 import itertools
@@ -19,8 +19,8 @@
 
 ROUTERS = 3
 RETENTION_S = 1000.0
-# Integers would be drawn with the constants of whatever modules happen to
-# be imported, and the examples would differ from run to run.
+# Integer strategies also draw constants of the modules that happen to be
+# imported, and the examples would differ from run to run.
 PICK = strategies.sampled_from(range(64))
 ROUTER = strategies.sampled_from(range(ROUTERS))
 FATE = strategies.sampled_from(
@@ -41,18 +41,18 @@
 
 @attrs.define(eq=False)
 class Call:
-    """A store call on its way; effect and answer are separate events."""
+    """A store call in flight; its effect and response are separate events."""
 
     router: int
     write: bool
     effect: object
-    answer: asyncio.Future
+    response: asyncio.Future
     result: object = None
     applied: bool = False
-    held_up: bool = False
+    is_delayed: bool = False
 
     def apply(self):
-        """Let the call take effect, perhaps long after it was given up."""
+        """Let the call take effect, possibly after its caller gave up."""
         if self.applied:
             return
         self.applied = True
@@ -65,15 +65,15 @@
 
 
 class Network(interface.ObjectStore):
-    """One router's way to the store; the machine moves each call."""
+    """One router's connection to the store; the machine drives each call."""
 
     def __init__(self, objects, router, calls):
         self._objects, self._router, self._calls = objects, router, calls
 
     async def _call(self, write, effect):
-        answer = asyncio.get_running_loop().create_future()
-        self._calls.append(Call(self._router, write, effect, answer))
-        return await answer
+        response = asyncio.get_running_loop().create_future()
+        self._calls.append(Call(self._router, write, effect, response))
+        return await response
 
     async def get(self, *args, **options):
         return await self._call(False, self._objects.get(*args, **options))
@@ -95,11 +95,11 @@
 
 
 class AtMostOnce(stateful.RuleBasedStateMachine):
-    """Three routers, two keys, and a service that counts its runs.
+    """Three routers, a key, and a service that counts its runs.
 
-    The machine chooses when each store call takes effect, whether and
-    when its answer comes, which router dies or sleeps at which point, and
-    when claims are reaped.  A service never sees two runs under one key
+    The machine chooses when each store call takes effect, whether and when
+    its response arrives, which router dies or is paused at which point, and
+    when claims are reaped.  The service never sees two runs under one key
     within the retention.
     """
 
@@ -109,13 +109,13 @@
         self.objects = memory.MemoryObjectStore()
         self.now_s = 0.0
         self.calls: list[Call] = []
-        self.dead: list[object] = []
+        self.kept_alive: list[object] = []
         self.fates: list[list[str]] = [[] for _ in range(ROUTERS)]
         self.keepers = [self.start_router(i) for i in range(ROUTERS)]
         self.tasks: list[tuple[int, str, str, asyncio.Task]] = []
-        self.held: list[tuple[int, str, keeper.Claim]] = []
+        self.acquired: list[tuple[int, str, keeper.Claim]] = []
         self.runs: dict[str, list[tuple[float, str]]] = {}
-        self.sweep = reaper.Reaper(
+        self.reaper = reaper.Reaper(
             self.objects, lambda: RETENTION_S, lambda: True
         )
 
@@ -125,11 +125,11 @@
             f"r{index}",
             save_within_s=1e9,
             rng=random.Random(0),
-            wall_s=lambda: self.now_s,
+            wall_clock=lambda: self.now_s,
         )
 
     def step(self):
-        """Run every router until it waits for calls that were held up."""
+        """Run every router until it waits only for delayed calls."""
 
         async def idle():
             for _ in range(12):
@@ -137,31 +137,31 @@
 
         for _ in range(40):
             self.loop.run_until_complete(idle())
-            fresh = [c for c in self.open_calls() if not c.held_up]
-            for call in fresh:
-                if call.answer.done():
-                    # Its router was killed by the call before it.
+            undecided = [c for c in self.open_calls() if not c.is_delayed]
+            for call in undecided:
+                if call.response.done():
+                    # Its router was killed by the previous call.
                     continue
                 fates = self.fates[call.router]
-                self.meet(call, fates.pop(0) if fates else "answered")
-            if not fresh:
+                self.end_call(call, fates.pop(0) if fates else "answered")
+            if not undecided:
                 break
-        self.collect()
+        self.collect_results()
 
-    def meet(self, call, fate):
-        """Let one call meet its fate."""
+    def end_call(self, call, fate):
+        """End, delay or lose one call."""
         if fate == "held up":
-            call.held_up = True
+            call.is_delayed = True
         elif fate == "refused":
             call.applied = True
             call.effect.close()
-            call.answer.set_exception(interface.StoreUnavailable("down"))
+            call.response.set_exception(interface.StoreUnavailable("down"))
         elif fate == "answered":
             call.apply()
             if isinstance(call.result, Exception):
-                call.answer.set_exception(call.result)
+                call.response.set_exception(call.result)
             else:
-                call.answer.set_result(call.result)
+                call.response.set_result(call.result)
         elif fate in ("killed before", "killed after"):
             if fate == "killed after":
                 call.apply()
@@ -174,27 +174,27 @@
                 if call.write
                 else interface.StoreUnavailable
             )
-            call.answer.set_exception(error("no answer"))
+            call.response.set_exception(error("no answer"))
 
-    def collect(self):
+    def collect_results(self):
         for entry in [t for t in self.tasks if t[3].done()]:
             self.tasks.remove(entry)
             router, key, body, task = entry
             if task.cancelled():
                 continue
             if task.exception() is not None:
-                self.refused(key, body, task.exception())
+                self.check_refusal(key, body, task.exception())
             elif isinstance(task.result(), keeper.Claim):
-                self.held.append((router, key, task.result()))
+                self.acquired.append((router, key, task.result()))
             else:
-                self.replayed(key, body, task.result())
+                self.check_replay(key, body, task.result())
 
-    def refused(self, key, body, error):
+    def check_refusal(self, key, body, error):
         assert isinstance(error, errors.RudderError)
         if error.ran is errors.Ran.DONE:
             assert self.runs.get(key)
 
-    def replayed(self, key, body, replay):
+    def check_replay(self, key, body, replay):
         assert (replay.result.body.decode()) in [
             ran for _, ran in self.runs[key]
         ]
@@ -204,7 +204,7 @@
         return options[index % len(options)]
 
     def open_calls(self):
-        return [c for c in self.calls if not c.answer.done()]
+        return [c for c in self.calls if not c.response.done()]
 
     @stateful.rule(
         router=ROUTER,
@@ -212,60 +212,60 @@
         end=END,
     )
     def request(self, router, body, end):
-        """A caller's try; `end` is what follows once it is claimed."""
+        """Send an attempt; `end` is what follows once it is claimed."""
         key = "k"
-        holder = self.keepers[router]
+        claim_keeper = self.keepers[router]
         task = self.loop.create_task(
-            holder.acquire("acme", key, body, self.now_s)
+            claim_keeper.acquire("acme", key, body, self.now_s)
         )
         self.tasks.append((router, key, body, task))
-        before = len(self.held)
+        previous = len(self.acquired)
         self.step()
-        if len(self.held) > before and end != "sleeps":
-            self.end(self.held[-1], end)
+        if len(self.acquired) > previous and end != "sleeps":
+            self.dispatch(self.acquired[-1], end)
 
     @stateful.rule(router=ROUTER, fates=strategies.lists(FATE, max_size=4))
-    def faults(self, router, fates):
-        """What the router's next store calls will meet."""
+    def set_fates(self, router, fates):
+        """Set the outcomes of the router's next store calls."""
         self.fates[router] = fates
 
     @stateful.precondition(lambda self: self.open_calls())
     @stateful.rule(index=PICK, fate=FATE)
-    def held_up_call(self, index, fate):
+    def end_delayed_call(self, index, fate):
         call = self.pick(self.open_calls(), index)
         if not (call.applied and fate == "refused"):
-            self.meet(call, fate)
+            self.end_call(call, fate)
             self.step()
 
     @stateful.precondition(lambda self: any(not c.applied for c in self.calls))
     @stateful.rule(index=PICK)
-    def arrive(self, index):
-        """A call takes effect, though its router may have given it up."""
+    def apply_call(self, index):
+        """Apply a call, although its router may have given it up."""
         self.pick([c for c in self.calls if not c.applied], index).apply()
 
-    @stateful.precondition(lambda self: self.held)
+    @stateful.precondition(lambda self: self.acquired)
     @stateful.rule(index=PICK, end=END)
-    def wake(self, index, end):
-        """A router dispatches what it claimed, perhaps long ago."""
+    def resume(self, index, end):
+        """Dispatch a claimed request, possibly long after the claim."""
         if end != "sleeps":
-            self.end(self.pick(self.held, index), end)
+            self.dispatch(self.pick(self.acquired, index), end)
 
-    def end(self, entry, end):
+    def dispatch(self, entry, end):
         _, key, claim = entry
         try:
             claim.check(self.now_s)
         except errors.RudderError as error:
             assert error.code is errors.Code.CLAIM_EXPIRED
-            self.held.remove(entry)
+            self.acquired.remove(entry)
             return
         if end.startswith("not sent"):
             claim.mark_not_dispatched()
             if end == "not sent":
-                # The claim stays in `held`: a faulty caller that tries to
-                # dispatch it again must be stopped by the claim itself.
+                # The claim stays in `acquired`: the claim itself must reject
+                # a second dispatch by faulty code.
                 self.background(claim.release())
             return
-        self.held.remove(entry)
+        self.acquired.remove(entry)
         body = claim.record.body_sha256
         self.runs.setdefault(key, []).append((self.now_s, body))
         if end == "answered":
@@ -275,13 +275,13 @@
         elif end == "large":
             self.background(claim.finish(record.Result(200, (), b"x" * 99999)))
 
-    def background(self, work):
-        self.loop.create_task(work)
+    def background(self, coroutine):
+        self.loop.create_task(coroutine)
         self.step()
 
     @stateful.precondition(lambda self: self.tasks)
     @stateful.rule(index=PICK)
-    def caller_leaves(self, index):
+    def caller_disconnects(self, index):
         self.pick(self.tasks, index)[3].cancel()
         self.step()
 
@@ -291,17 +291,17 @@
         self.step()
 
     def stop_router(self, router):
-        """SIGKILL: its calls may still arrive, its memory is gone."""
-        self.dead += [t for t in self.tasks if t[0] == router]
-        self.dead.append(self.keepers[router])
+        """Stop a router as by SIGKILL: it loses its memory, not its calls."""
+        self.kept_alive += [t for t in self.tasks if t[0] == router]
+        self.kept_alive.append(self.keepers[router])
         self.tasks = [t for t in self.tasks if t[0] != router]
-        self.held = [h for h in self.held if h[0] != router]
+        self.acquired = [a for a in self.acquired if a[0] != router]
         for call in self.calls:
-            if call.router == router and not call.answer.done():
-                # Never answered: the dead router does nothing any more.
-                self.dead.append(call.answer)
-                call.answer = self.loop.create_future()
-                call.answer.cancel()
+            if call.router == router and not call.response.done():
+                # Never completed, so the dead router takes no more steps.
+                self.kept_alive.append(call.response)
+                call.response = self.loop.create_future()
+                call.response.cancel()
         self.fates[router] = []
         self.keepers[router] = self.start_router(router)
 
@@ -313,16 +313,16 @@
 
     @stateful.rule()
     def retention_passes(self):
-        """All claims end, also those whose holder sleeps."""
-        self.now_s += RETENTION_S + reaper.SKEW_S + 1
+        """Let all claims expire, also those of paused holders."""
+        self.now_s += RETENTION_S + reaper.CLOCK_SKEW_S + 1
         self.reap()
-        self.now_s += reaper.WATCHED_S
+        self.now_s += reaper.MIN_OBSERVED_S
         self.reap()
 
     @stateful.rule()
     def reap(self):
         self.loop.run_until_complete(
-            self.sweep.reap(
+            self.reaper.reap(
                 lambda: self.now_s, lambda: self.now_s, pause_s=0.0
             )
         )
@@ -349,10 +349,10 @@
     derandomize=True,
     deadline=None,
     max_examples=200,
-    # Shrinking takes minutes here; the trace is readable without.
+    # Shrinking takes minutes; the trace is readable without it.
     phases=[hypothesis.Phase.generate],
     stateful_step_count=50,
     suppress_health_check=list(hypothesis.HealthCheck),
     database=None,
 )
-assert decision.Limits().dispatch_within_s < reaper.WATCHED_S
+assert decision.Limits().dispatch_within_s < reaper.MIN_OBSERVED_S
--- a/toucanrudder/claims/tests/test_keeper.py
+++ b/toucanrudder/claims/tests/test_keeper.py
@@ -14,7 +14,7 @@
 
 
 @pytest.fixture(autouse=True)
-def quick(monkeypatch):
+def no_backoff(monkeypatch):
     monkeypatch.setattr(keeper, "BACKOFF_S", (0.0, 0.0))
 
 
@@ -23,32 +23,32 @@
     return memory.MemoryObjectStore()
 
 
-def router(objects, name="r1", **options):
+def make_keeper(objects, name="r1", **options):
     return keeper.ClaimKeeper(objects, name, **options)
 
 
-async def refusal(holder, body=BODY, now_s=0.0):
+async def refusal(claim_keeper, body=BODY, now_s=0.0):
     with pytest.raises(errors.RudderError) as caught:
-        await holder.acquire("acme", "k", body, now_s)
+        await claim_keeper.acquire("acme", "k", body, now_s)
     return caught.value.code, caught.value.ran
 
 
-async def settled(holder):
-    assert await holder.drain(10.0) == 0
+async def drained(claim_keeper):
+    assert await claim_keeper.drain(10.0) == 0
 
 
 async def test_one_write_claims_and_one_more_finishes(objects):
-    holder = router(objects)
-    claim = await holder.acquire("acme", "k", BODY, 0.0)
+    claim_keeper = make_keeper(objects)
+    claim = await claim_keeper.acquire("acme", "k", BODY, 0.0)
     claim.check(0.1)
     await claim.finish(RESULT)
     assert sum(objects.counts.values()) == 2
-    again = await router(objects, "r2").acquire("acme", "k", BODY, 1.0)
+    again = await make_keeper(objects, "r2").acquire("acme", "k", BODY, 1.0)
     assert again == decision.Replay(RESULT)
 
 
 EARLIER = [
-    # what the first try did, the resend's body, code, ran
+    # state of the first attempt, body of the retry, code, ran
     ("claimed", BODY, errors.Code.ALREADY_STARTED, errors.Ran.UNKNOWN),
     ("old", BODY, errors.Code.OUTCOME_UNKNOWN, errors.Ran.UNKNOWN),
     ("large", BODY, errors.Code.ALREADY_DONE, errors.Ran.DONE),
@@ -59,14 +59,16 @@
 
 
 @pytest.mark.parametrize(("first", "body", "code", "ran"), EARLIER)
-async def test_a_resend_learns_what_became_of_the_first_try(
+async def test_a_retry_gets_the_state_of_the_first_attempt(
     objects, first, body, code, ran
 ):
-    wall = {"now_s": 1000.0}
-    holder = router(objects, wall_s=lambda: wall["now_s"], max_result_bytes=9)
-    claim = await holder.acquire("acme", "k", BODY, 0.0)
+    wall_clock = {"now_s": 1000.0}
+    claim_keeper = make_keeper(
+        objects, wall_clock=lambda: wall_clock["now_s"], max_result_bytes=9
+    )
+    claim = await claim_keeper.acquire("acme", "k", BODY, 0.0)
     if first == "old":
-        wall["now_s"] += 61.0
+        wall_clock["now_s"] += 61.0
     elif first == "large":
         await claim.finish(record.Result(200, (), b"x" * 10))
     elif first == "done":
@@ -75,7 +77,7 @@
         await objects.update(
             record.KIND, claim.name, {"new": 1}, claim.version, timeout_s=1
         )
-    assert await refusal(holder, body) == (code, ran)
+    assert await refusal(claim_keeper, body) == (code, ran)
 
 
 FAULTS = [
@@ -89,39 +91,41 @@
 
 
 @pytest.mark.parametrize(("fault", "times", "code"), FAULTS)
-async def test_an_unanswered_write_is_settled_by_reading_back(
+async def test_a_write_without_response_is_resolved_by_a_read(
     objects, fault, times, code
 ):
-    """The store takes the claim and its answer is lost, or loses both.
+    """The response to the claim's write is lost, with or without the write.
 
-    Taken for a failure, the caller would be told to come back and find
-    its own claim; taken for a success, two routers could hold one claim.
+    Treated as a failure, the caller would retry and find its own claim;
+    treated as a success, two routers could hold one claim.
     """
-    holder = router(objects)
+    claim_keeper = make_keeper(objects)
     setattr(objects.faults, fault, times)
     if code is None:
-        claim = await holder.acquire("acme", "k", BODY, 0.0)
+        claim = await claim_keeper.acquire("acme", "k", BODY, 0.0)
         claim.check(0.0)
     else:
-        assert await refusal(holder) == (code, errors.Ran.NOT_RUN)
+        assert await refusal(claim_keeper) == (code, errors.Ran.NOT_RUN)
     objects.faults = memory.Faults()
-    await settled(holder)
+    await drained(claim_keeper)
     if code is None:
-        assert (await refusal(router(objects, "r2")))[0] is (
+        assert (await refusal(make_keeper(objects, "r2")))[0] is (
             errors.Code.ALREADY_STARTED
         )
     else:
-        claim = await router(objects, "r2").acquire("acme", "k", BODY, 1.0)
+        claim = await make_keeper(objects, "r2").acquire(
+            "acme", "k", BODY, 1.0
+        )
         claim.check(1.0)
 
 
-async def test_store_down_long_then_back_leaves_the_key_usable(objects):
-    """The claim's write takes effect, then the store goes down for long.
+async def test_the_key_stays_usable_after_a_long_store_outage(objects):
+    """The claim's write takes effect, then the store fails for long.
 
-    The caller is told not run, truly.  When it comes back, to whichever
-    router, its own dead claim must not answer "already started" all day.
+    The caller is correctly told "not run".  On a retry, at any router, its
+    own abandoned claim must not cause "already started" for the retention.
     """
-    holder = router(objects)
+    claim_keeper = make_keeper(objects)
     objects.faults.lose_answers = 1
     get = objects.get
 
@@ -130,74 +134,77 @@
         return await get(*args, **options)
 
     objects.get = down
-    assert (await refusal(holder))[0] is errors.Code.STORE_UNAVAILABLE
+    assert (await refusal(claim_keeper))[0] is errors.Code.STORE_UNAVAILABLE
     objects.get = get
     objects.faults = memory.Faults()
-    claim = await holder.acquire("acme", "k", BODY, 1.0)
+    claim = await claim_keeper.acquire("acme", "k", BODY, 1.0)
     claim.check(1.0)
-    await settled(holder)
-    assert (await refusal(router(objects, "r2")))[0] is (
+    await drained(claim_keeper)
+    assert (await refusal(make_keeper(objects, "r2")))[0] is (
         errors.Code.ALREADY_STARTED
     )
 
 
-async def test_a_caller_that_leaves_during_the_claim_frees_its_key(objects):
-    holder = router(objects)
-    create, under_way = objects.create, asyncio.Event()
+async def test_a_caller_that_disconnects_during_the_claim_frees_its_key(
+    objects,
+):
+    claim_keeper = make_keeper(objects)
+    create, in_flight = objects.create, asyncio.Event()
 
     async def slow(*args, **options):
         await create(*args, **options)
-        under_way.set()
+        in_flight.set()
         await asyncio.Event().wait()
 
     objects.create = slow
-    task = asyncio.create_task(holder.acquire("acme", "k", BODY, 0.0))
-    await under_way.wait()
+    task = asyncio.create_task(claim_keeper.acquire("acme", "k", BODY, 0.0))
+    await in_flight.wait()
     task.cancel()
     await asyncio.wait([task])
     objects.create = create
-    await settled(holder)
-    claim = await router(objects, "r2").acquire("acme", "k", BODY, 1.0)
+    await drained(claim_keeper)
+    claim = await make_keeper(objects, "r2").acquire("acme", "k", BODY, 1.0)
     claim.check(1.0)
 
 
-async def test_a_late_copy_of_a_given_up_write_claims_nothing(objects):
-    """The create is given up, settled as not run, and then arrives.
+async def test_a_late_copy_of_an_abandoned_write_claims_nothing(objects):
+    """A create is abandoned, marked not run, and takes effect afterwards.
 
-    Without the object that settling leaves, the late copy would make a
-    claim that nobody dispatches and that answers "started" all day.
+    Without the object that the mark leaves, the late write would create a
+    claim that nobody dispatches and that reads as started for the whole
+    retention.
     """
-    holder = router(objects)
+    claim_keeper = make_keeper(objects)
     objects.faults.drop_writes = keeper.MAX_ROUNDS
-    assert (await refusal(holder))[0] is errors.Code.STORE_UNAVAILABLE
-    await settled(holder)
+    assert (await refusal(claim_keeper))[0] is errors.Code.STORE_UNAVAILABLE
+    await drained(claim_keeper)
     late = record.Record("late", BODY, record.State.STARTED, "r1", 0.0)
     with pytest.raises(memory.interface.ConditionFailed):
         await objects.create(
             record.KIND,
-            record.name_of("acme", "k"),
+            record.object_name("acme", "k"),
             late.to_value(),
             timeout_s=1,
         )
-    claim = await router(objects, "r2").acquire("acme", "k", BODY, 1.0)
+    claim = await make_keeper(objects, "r2").acquire("acme", "k", BODY, 1.0)
     claim.check(1.0)
 
 
-async def test_a_released_claim_goes_to_one_taker_and_is_dead_here(objects):
-    first = await router(objects).acquire("acme", "k", BODY, 0.0)
+async def test_a_released_claim_is_taken_over_once_and_expired_here(objects):
+    first = await make_keeper(objects).acquire("acme", "k", BODY, 0.0)
     first.check(0.0)
     first.mark_not_dispatched()
     await first.release()
-    takers = await asyncio.gather(
+    results = await asyncio.gather(
         *(
-            router(objects, f"r{i}").acquire("acme", "k", BODY, 1.0)
+            make_keeper(objects, f"r{i}").acquire("acme", "k", BODY, 1.0)
             for i in range(2, 6)
         ),
         return_exceptions=True,
     )
-    held = [t for t in takers if isinstance(t, keeper.Claim)]
-    assert len(held) == 1
-    assert {t.code for t in takers if t not in held} == {
+    acquired = [each for each in results if isinstance(each, keeper.Claim)]
+    assert len(acquired) == 1
+    assert {each.code for each in results if each not in acquired} == {
         errors.Code.ALREADY_STARTED
     }
     with pytest.raises(errors.RudderError) as caught:
@@ -205,8 +212,8 @@
     assert caught.value.code is errors.Code.CLAIM_EXPIRED
 
 
-async def test_a_router_that_wakes_late_does_not_dispatch(objects):
-    claim = await router(objects).acquire("acme", "k", BODY, 100.0)
+async def test_a_router_that_resumes_late_does_not_dispatch(objects):
+    claim = await make_keeper(objects).acquire("acme", "k", BODY, 100.0)
     with pytest.raises(errors.RudderError) as caught:
         claim.check(100.0 + decision.Limits().dispatch_within_s)
     assert caught.value.code is errors.Code.CLAIM_EXPIRED
@@ -214,107 +221,110 @@
 
 
 async def test_a_result_is_stored_later_when_the_store_is_down(objects):
-    holder = router(objects, save_within_s=0.01)
-    claim = await holder.acquire("acme", "k", BODY, 0.0)
+    claim_keeper = make_keeper(objects, save_within_s=0.01)
+    claim = await claim_keeper.acquire("acme", "k", BODY, 0.0)
     claim.check(0.0)
     objects.faults.down = True
     await claim.finish(RESULT)
     objects.faults.down = False
-    await settled(holder)
-    again = await router(objects, "r2").acquire("acme", "k", BODY, 1.0)
+    await drained(claim_keeper)
+    again = await make_keeper(objects, "r2").acquire("acme", "k", BODY, 1.0)
     assert again == decision.Replay(RESULT)
 
 
 DAY_S = 86400.0
-OLD_S = DAY_S + reaper.SKEW_S + 1
+OLD_S = DAY_S + reaper.CLOCK_SKEW_S + 1
 
 REAPED = [
-    # age by the wall clock, watched for, changed meanwhile, deleted
-    (OLD_S, reaper.WATCHED_S + 1, False, 1),
-    (OLD_S, reaper.WATCHED_S - 1, False, 0),
-    (DAY_S, reaper.WATCHED_S + 1, False, 0),
-    (OLD_S, reaper.WATCHED_S + 1, True, 0),
+    # age by the wall clock, time observed, changed meanwhile, deleted
+    (OLD_S, reaper.MIN_OBSERVED_S + 1, False, 1),
+    (OLD_S, reaper.MIN_OBSERVED_S - 1, False, 0),
+    (DAY_S, reaper.MIN_OBSERVED_S + 1, False, 0),
+    (OLD_S, reaper.MIN_OBSERVED_S + 1, True, 0),
 ]
 
 
-@pytest.mark.parametrize(("age_s", "watched_s", "changed", "want"), REAPED)
-async def test_claims_end_when_both_clocks_say_so(
-    objects, age_s, watched_s, changed, want
+@pytest.mark.parametrize(("age_s", "observed_s", "changed", "deleted"), REAPED)
+async def test_claims_expire_only_by_both_clocks(
+    objects, age_s, observed_s, changed, deleted
 ):
-    """A claim that ends early lets a resend run a second time.
+    """A claim that is deleted early lets a retry run a second time.
 
-    Its age counts by the wall clock, which may jump, so it must also have
-    stood unchanged before this router's own eyes.
+    Its age is measured by the wall clock, which may jump, so this router
+    must also have observed it unchanged for long enough.
     """
-    holder = router(objects, wall_s=lambda: 0.0)
-    claim = await holder.acquire("acme", "k", BODY, 0.0)
-    sweep = reaper.Reaper(objects, lambda: DAY_S, lambda: True)
-    assert await sweep.reap(lambda: 0.0, lambda: age_s, pause_s=0.0) == 0
+    claim_keeper = make_keeper(objects, wall_clock=lambda: 0.0)
+    claim = await claim_keeper.acquire("acme", "k", BODY, 0.0)
+    claim_reaper = reaper.Reaper(objects, lambda: DAY_S, lambda: True)
+    assert (
+        await claim_reaper.reap(lambda: 0.0, lambda: age_s, pause_s=0.0) == 0
+    )
     if changed:
         await claim.release()
-        await router(objects, "r2").acquire("acme", "k", BODY, 1.0)
+        await make_keeper(objects, "r2").acquire("acme", "k", BODY, 1.0)
     assert (
-        await sweep.reap(lambda: watched_s, lambda: age_s, pause_s=0.0) == want
+        await claim_reaper.reap(lambda: observed_s, lambda: age_s, pause_s=0.0)
+        == deleted
     )
 
 
-async def test_two_reapers_and_a_taker_race_for_one_claim(objects):
-    """One reaper judges a claim, a resend takes it over, the reaper acts.
+async def test_two_reapers_and_a_takeover_race_for_one_claim(objects):
+    """A retry takes a claim over between a reaper's check and its delete.
 
     An unconditional delete would remove the new holder's claim, and the
-    next resend would run beside it.
+    next retry would run concurrently.
     """
-    claim = await router(objects, wall_s=lambda: 0.0).acquire(
+    claim = await make_keeper(objects, wall_clock=lambda: 0.0).acquire(
         "acme", "k", BODY, 0.0
     )
     await claim.release()
-    sweeps = [
+    reapers = [
         reaper.Reaper(objects, lambda: DAY_S, lambda: True) for _ in "ab"
     ]
-    for sweep in sweeps:
-        await sweep.reap(lambda: 0.0, lambda: OLD_S, pause_s=0.0)
+    for each in reapers:
+        await each.reap(lambda: 0.0, lambda: OLD_S, pause_s=0.0)
     delete = objects.delete
 
-    async def beaten(*args, **options):
+    async def delete_after_takeover(*args, **options):
         objects.delete = delete
-        await router(objects, "r2").acquire("acme", "k", BODY, 1.0)
+        await make_keeper(objects, "r2").acquire("acme", "k", BODY, 1.0)
         await delete(*args, **options)
 
-    objects.delete = beaten
-    later_s = reaper.WATCHED_S + 1
-    gone = [
-        await s.reap(lambda: later_s, lambda: OLD_S, pause_s=0.0)
-        for s in sweeps
+    objects.delete = delete_after_takeover
+    later_s = reaper.MIN_OBSERVED_S + 1
+    deleted = [
+        await each.reap(lambda: later_s, lambda: OLD_S, pause_s=0.0)
+        for each in reapers
     ]
-    assert gone == [0, 0]
-    assert (await refusal(router(objects, "r3")))[0] is (
+    assert deleted == [0, 0]
+    assert (await refusal(make_keeper(objects, "r3")))[0] is (
         errors.Code.ALREADY_STARTED
     )
 
 
 class RevertingStore(memory.MemoryObjectStore):
-    """A store that gives versions out again once it has gone back."""
+    """A store that issues versions again after a restore."""
 
     def snapshot(self):
         """Return the present state and version."""
         return super().snapshot(), self._version
 
     def restore(self, snapshot):
-        """Come back in an older state and at its version."""
+        """Return to an older state and its version."""
         state, self._version = snapshot
         super().restore(state)
 
 
-async def test_a_release_after_the_store_went_back_frees_no_others_claim():
-    """A claim is lost, its key taken elsewhere at the same version."""
+async def test_a_release_after_a_restore_keeps_the_claim_of_another():
+    """A claim is lost in a restore, and another gets the same version."""
     objects = RevertingStore()
     before = objects.snapshot()
-    lost = await router(objects).acquire("acme", "k", BODY, 0.0)
+    lost = await make_keeper(objects).acquire("acme", "k", BODY, 0.0)
     objects.restore(before)
-    runs = await router(objects, "r2").acquire("acme", "k", BODY, 1.0)
-    assert runs.version == lost.version
-    runs.check(1.0)
+    second = await make_keeper(objects, "r2").acquire("acme", "k", BODY, 1.0)
+    assert second.version == lost.version
+    second.check(1.0)
     await lost.release()
-    assert (await refusal(router(objects, "r3")))[0] is (
+    assert (await refusal(make_keeper(objects, "r3")))[0] is (
         errors.Code.ALREADY_STARTED
     )
--- a/toucanrudder/claims/tests/test_service_runs.py
+++ b/toucanrudder/claims/tests/test_service_runs.py
@@ -1,4 +1,4 @@
-"""Promise 6 with real processes; the service's own count is the judge."""
+"""At-most-once execution with real processes, by the service's run count."""
 
 import asyncio
 import signal
@@ -30,15 +30,15 @@
 
 
 async def book(fleet, router=0, key="k", body=b"stage 4", organisation="acme"):
-    """Return the status and the body of one try."""
+    """Return the status and the body of one attempt."""
     headers = fleets.authorization(organisation) | {"Idempotency-Key": key}
     url = f"{fleet.routers[router].url}/services/desk/bookings"
-    async with fleet.session.post(url, data=body, headers=headers) as answer:
-        return answer.status, await answer.json()
+    async with fleet.session.post(url, data=body, headers=headers) as response:
+        return response.status, await response.json()
 
 
-def said(answer):
-    status, body = answer
+def outcome(response):
+    status, body = response
     if status == 200:
         return "answered"
     return body["error"]["code"], body["error"]["ran"]
@@ -60,32 +60,32 @@
 
 
 async def one_run(fleet):
-    async def begun():
+    async def has_run():
         return await runs(fleet) == 1
 
-    await control.until(begun)
+    await control.until(has_run)
 
 
 async def claimed(fleet):
-    async def there():
+    async def is_stored():
         return len(await stored_claims(fleet)) == 1
 
-    await control.until(there)
+    await control.until(is_stored)
 
 
 async def until_answered(fleet, router):
-    """Send again until the answer comes, as a patient caller does."""
-    answers = []
+    """Retry until the response comes, as a patient caller does."""
+    responses = []
 
     async def answered():
-        answers.append(await book(fleet, router))
-        return answers[-1][0] == 200
+        responses.append(await book(fleet, router))
+        return responses[-1][0] == 200
 
     await control.until(answered)
-    return answers[-1]
+    return responses[-1]
 
 
-async def killed(fleet, router, call):
+async def kill_during(fleet, router, call):
     await fleet.routers[router].process.kill()
     with pytest.raises(aiohttp.ClientError):
         await call
@@ -94,37 +94,37 @@
 STARTED = ("already_started", "outcome_unknown")
 
 
-async def test_double_click_at_two_routers_at_one_moment():
-    """Eight tries of one booking reach two routers at once.
+async def test_concurrent_attempts_at_two_routers():
+    """Eight attempts of one booking reach two routers at once.
 
-    One of them gets the claim.  The others are told that it was started,
-    and a later try gets its answer.
+    One of them acquires the claim.  The others are told that the booking
+    was started, and a later attempt gets its response.
     """
     async with fleets.running(plan()) as fleet:
         await service_faults(fleet, delay_s=0.5)
-        tries = await asyncio.gather(
+        attempts = await asyncio.gather(
             *(book(fleet, number % 2) for number in range(8))
         )
-        assert sorted(map(said, tries), key=str) == sorted(
+        assert sorted(map(outcome, attempts), key=str) == sorted(
             ["answered"] + [STARTED] * 7, key=str
         )
-        first = next(body for status, body in tries if status == 200)
+        first = next(body for status, body in attempts if status == 200)
         assert await book(fleet, 1) == (200, first)
         assert await runs(fleet) == 1
-        # Another organisation's key of the same name is another key.
+        # The same key of another organisation is a different key.
         other = await book(fleet, 0, organisation="birch")
-        assert said(other) == "answered"
+        assert outcome(other) == "answered"
         assert await runs(fleet) == 2
         reused = await book(fleet, 1, body=b"stage 5")
-        assert said(reused) == ("idempotency_key_reused", "not_run")
+        assert outcome(reused) == ("idempotency_key_reused", "not_run")
         assert await runs(fleet) == 2
 
 
-async def test_a_caller_that_left_finds_the_answer_at_its_next_try():
-    """The caller's connection breaks while the service works.
+async def test_a_disconnected_caller_gets_the_response_on_retry():
+    """The caller's connection breaks while the service runs the call.
 
-    The router goes on and retains the answer.  Were the call given up
-    with its caller, the resend could only be told "unknown".
+    The router continues and retains the response.  If the call were
+    abandoned with its caller, a retry could only be told "unknown".
     """
     async with fleets.running(plan()) as fleet:
         await service_faults(fleet, delay_s=0.5)
@@ -136,23 +136,23 @@
         assert await runs(fleet) == 1
 
 
-async def test_a_lost_answer_of_the_service_is_an_unknown_outcome():
+async def test_a_lost_response_of_the_service_is_an_unknown_outcome():
     async with fleets.running(plan()) as fleet:
         await service_faults(fleet, fail="lost_answer")
-        assert said(await book(fleet)) == (
+        assert outcome(await book(fleet)) == (
             "upstream_failed",
             "outcome_unknown",
         )
         await service_faults(fleet)
         for router in (1, 0):
-            assert said(await book(fleet, router)) == STARTED
+            assert outcome(await book(fleet, router)) == STARTED
         assert await runs(fleet) == 1
 
 
 async def test_router_killed_before_its_claim_took_effect():
-    """The claim is on its way when the router dies; it arrives later.
+    """A router dies while its claim is in flight; the claim arrives later.
 
-    Whichever try's claim the store takes first, no two tries run.
+    Whichever attempt's claim takes effect first, at most one attempt runs.
     """
     async with fleets.running(plan()) as fleet:
         await fleet.put_faults(
@@ -160,36 +160,36 @@
         )
         call = asyncio.ensure_future(book(fleet))
 
-        async def sent():
+        async def is_sent():
             async with fleet.session.get(
                 f"{fleet.platform.url}/counts"
-            ) as got:
-                counts = await got.json()
+            ) as response:
+                counts = await response.json()
             return counts["by_kind"].get("claims.writes", 0) > 0
 
-        await control.until(sent)
-        await killed(fleet, 0, call)
+        await control.until(is_sent)
+        await kill_during(fleet, 0, call)
         await fleet.put_faults("platform", mode="ok")
-        assert said(await book(fleet, 1)) in ("answered", STARTED)
+        assert outcome(await book(fleet, 1)) in ("answered", STARTED)
         assert await runs(fleet) <= 1
         await claimed(fleet)
 
 
 KILLED = [
-    # where the router dies, the resend's answer, runs
+    # where the router dies, outcome of the retry, runs
     ("between claim and dispatch", STARTED, 0),
     ("after dispatch", STARTED, 1),
     ("after the answer", "answered", 1),
 ]
 
 
-@pytest.mark.parametrize(("point", "resend", "count"), KILLED)
-async def test_router_killed(point, resend, count):
-    """A router dies at one point of a booking; the caller tries the other.
+@pytest.mark.parametrize(("point", "retry_outcome", "run_count"), KILLED)
+async def test_router_killed(point, retry_outcome, run_count):
+    """A router dies during a booking, and the caller retries at the other.
 
-    What the first router sent nobody can tell but the service.  Once there
-    is a claim the resend gets the retained answer, or hears that the
-    outcome is unknown: never "not run", never a second run.
+    Only the service knows what the first router sent.  Once a claim
+    exists, the retry gets the retained response or an unknown outcome:
+    never "not run", never a second run.
     """
     async with fleets.running(plan()) as fleet:
         if point == "between claim and dispatch":
@@ -200,23 +200,23 @@
             await service_faults(fleet, delay_s=5.0)
         call = asyncio.ensure_future(book(fleet))
         if point == "after the answer":
-            assert said(await call) == "answered"
+            assert outcome(await call) == "answered"
             await fleet.routers[0].process.kill()
         else:
             await claimed(fleet)
-            if count:
+            if run_count:
                 await one_run(fleet)
-            await killed(fleet, 0, call)
-        assert said(await book(fleet, 1)) == resend
-        assert await runs(fleet) == count
+            await kill_during(fleet, 0, call)
+        assert outcome(await book(fleet, 1)) == retry_outcome
+        assert await runs(fleet) == run_count
 
 
-async def test_a_paused_router_that_wakes_up_does_not_dispatch():
-    """A router is stopped between its claim and the dispatch.  Meanwhile
-    its claim ends, and the caller's resend runs elsewhere.
+async def test_a_paused_router_does_not_dispatch_after_it_resumes():
+    """A router is paused between its claim and the dispatch.
 
-    Without the check of the claim's age the router would wake, read the
-    store's old answer from its socket, and run the booking again.
+    Meanwhile its claim is deleted, and the caller's retry runs elsewhere.
+    Without the check of the claim's age the resumed router would read the
+    store's old response from its socket and run the booking again.
     """
     async with fleets.running(plan(store={"timeout_s": 10})) as fleet:
         process = fleet.routers[0].process
@@ -226,40 +226,40 @@
         call = asyncio.ensure_future(book(fleet))
         await claimed(fleet)
         process.signal(signal.SIGSTOP)
-        held = (await stored_claims(fleet))[0]
-        url = f"{fleet.platform.url}/objects/claims/{held['name']}"
+        stored = (await stored_claims(fleet))[0]
+        url = f"{fleet.platform.url}/objects/claims/{stored['name']}"
         async with fleet.session.delete(
-            url, headers={"If-Match": str(held["version"])}
+            url, headers={"If-Match": str(stored["version"])}
         ) as response:
             assert response.status == 204
-        assert said(await book(fleet, 1)) == "answered"
-        # The pause itself: long enough for the claim to be too old.
+        assert outcome(await book(fleet, 1)) == "answered"
+        # Pauses until the claim is too old for its dispatch.
         await asyncio.sleep(DISPATCH_WITHIN_S)
         process.signal(signal.SIGCONT)
-        assert said(await call) == ("claim_expired", "not_run")
+        assert outcome(await call) == ("claim_expired", "not_run")
         assert await runs(fleet) == 1
 
 
-LOST = [
+LOST_RESPONSES = [
     {"mode": "lose_answers", "times": 1},
     {"mode": "lose_answers", "times": 2},
 ]
 
 
-@pytest.mark.parametrize("fault", LOST)
-async def test_lost_answers_of_the_store(fault):
+@pytest.mark.parametrize("fault", LOST_RESPONSES)
+async def test_lost_responses_of_the_store(fault):
     async with fleets.running(plan()) as fleet:
         await fleet.put_faults("platform", kind="claims", **fault)
-        assert said(await book(fleet)) == "answered"
+        assert outcome(await book(fleet)) == "answered"
         first = await until_answered(fleet, router=1)
         assert first[1]["run"] == 1
         assert await runs(fleet) == 1
 
 
-async def test_a_store_that_is_down_for_long():
-    """Bookings are refused at once and truly; quotes go on.
+async def test_a_long_outage_of_the_store():
+    """Bookings are refused at once as not run; quotes are still served.
 
-    When the store is back the same key works.
+    Once the store is available again, the same key works.
     """
     async with fleets.running(plan()) as fleet:
         await fleet.put_faults("platform", mode="down")
@@ -275,5 +275,5 @@
         ) as answer:
             assert answer.status == 200
         await fleet.put_faults("platform", mode="ok")
-        assert said(await book(fleet, 1)) == "answered"
+        assert outcome(await book(fleet, 1)) == "answered"
         assert await runs(fleet) == 2
