--- a/toucanrudder/claims/tests/test_service_runs.py
+++ b/toucanrudder/claims/tests/test_service_runs.py
@@ -1,4 +1,4 @@
-"""At-most-once execution with real processes, by the service's run count."""
+"""At-most-once execution with real processes; see docs/promises.md, 6."""
 
 import asyncio
 import signal
