--- a/toucanrudder/bench/capacity/pure.py
+++ b/toucanrudder/bench/capacity/pure.py
@@ -37,7 +37,7 @@
     spent_s -= drawn.spent_s()
     looked = isolation.Meter()
     for _ in range(REPEATS):
-        held.believed_tokens("e1", "i", keys, 0.0)
+        held.expected_cached_tokens("e1", "i", keys, 0.0)
     return {
         "memory_bytes": grown,
         "event_s": spent_s / events,
--- a/toucanrudder/controllers/kept_cache.py
+++ b/toucanrudder/controllers/kept_cache.py
@@ -129,7 +129,7 @@
             incarnation=decision.incarnation,
             weights_version="",
             prefill_tokens_per_s=speed_tokens_per_s,
-            believed_tokens=decision.expected_hit_tokens,
+            expected_cached_tokens=decision.expected_hit_tokens,
         )
         return imports.decide(view, query, kept, self._cost)
 
--- a/toucanrudder/controllers/tests/test_cache_events.py
+++ b/toucanrudder/controllers/tests/test_cache_events.py
@@ -27,7 +27,7 @@
         reraise=True,
     ):
         with attempt:
-            assert believed.believed_tokens(
+            assert believed.expected_cached_tokens(
                 "e", engine.incarnation, KEYS, time.monotonic()
             )
 
@@ -166,7 +166,7 @@
         return [
             name
             for name in ("e1", "e2")
-            if believed.believed_tokens(name, "i", KEYS, clock.now_s())
+            if believed.expected_cached_tokens(name, "i", KEYS, clock.now_s())
         ]
 
     assert timing.run(main) == ["e1", "e2"]
@@ -186,6 +186,8 @@
         await asyncio.sleep(3 * cache_events.CHECK_S)
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
-        return bool(believed.believed_tokens("e1", "i", KEYS, clock.now_s()))
+        return bool(
+            believed.expected_cached_tokens("e1", "i", KEYS, clock.now_s())
+        )
 
     assert timing.run(main)
--- a/toucanrudder/placement/imports.py
+++ b/toucanrudder/placement/imports.py
@@ -78,7 +78,7 @@
     cost : ImportCost
         Measured cost of imports.
     """
-    held = upstream.believed_tokens // identity.BLOCK_TOKENS
+    held = upstream.expected_cached_tokens // identity.BLOCK_TOKENS
     kept = set(kept_keys)
     blocks = []
     # A block is of use only if every block before it is there: the first
--- a/toucanrudder/placement/policies.py
+++ b/toucanrudder/placement/policies.py
@@ -247,11 +247,11 @@
 
 
 def _hit_tokens(upstream, query):
-    return min(upstream.believed_tokens, query.prompt_tokens)
+    return min(upstream.expected_cached_tokens, query.prompt_tokens)
 
 
 def _reason(chosen, owners):
-    if chosen.believed_tokens:
+    if chosen.expected_cached_tokens:
         return "cached"
     return "home" if chosen.name in owners else "spill"
 
--- a/toucanrudder/placement/tests/test_placement.py
+++ b/toucanrudder/placement/tests/test_placement.py
@@ -57,13 +57,15 @@
 
 CASES = {
     "cached engine wins": (
-        [engine(HOME), engine(OTHER, believed_tokens=6000)],
+        [engine(HOME), engine(OTHER, expected_cached_tokens=6000)],
         {},
         OTHER,
     ),
     "cached engine with a long queue loses": (
         [
-            engine(HOME, believed_tokens=6000, queued_prefill_tokens=50000),
+            engine(
+                HOME, expected_cached_tokens=6000, queued_prefill_tokens=50000
+            ),
             engine(OTHER),
         ],
         {},
@@ -73,7 +75,7 @@
         [
             engine(
                 HOME,
-                believed_tokens=6000,
+                expected_cached_tokens=6000,
                 queued_prefill_tokens=50000,
                 reported_at_s=NOW_S - 4.9,
             ),
@@ -105,7 +107,9 @@
     ),
     "hit rate weighed more": (
         [
-            engine(HOME, believed_tokens=6000, queued_prefill_tokens=8000),
+            engine(
+                HOME, expected_cached_tokens=6000, queued_prefill_tokens=8000
+            ),
             engine(OTHER),
         ],
         {"recompute_weight": 3.0},
@@ -113,7 +117,9 @@
     ),
     "waiting weighed more": (
         [
-            engine(HOME, believed_tokens=6000, queued_prefill_tokens=8000),
+            engine(
+                HOME, expected_cached_tokens=6000, queued_prefill_tokens=8000
+            ),
             engine(OTHER),
         ],
         {"wait_weight": 3.0},
@@ -132,7 +138,7 @@
 
 
 def test_decision_names_the_incarnation_it_relied_on():
-    decision = place(fleet(engine("a", believed_tokens=4000)))
+    decision = place(fleet(engine("a", expected_cached_tokens=4000)))
     assert decision.incarnation == "a-1"
     assert decision.expected_hit_tokens == 4000
 
@@ -248,7 +254,10 @@
 )
 def test_import_takes_an_unbroken_run(held, kept, blocks):
     order = imports.decide(
-        engine("a", believed_tokens=held), query(), kept, imports.ImportCost()
+        engine("a", expected_cached_tokens=held),
+        query(),
+        kept,
+        imports.ImportCost(),
     )
     assert (order.blocks if order else None) == blocks
 
--- a/toucanrudder/placement/types.py
+++ b/toucanrudder/placement/types.py
@@ -43,7 +43,7 @@
         own class or a more urgent one.
     peer_in_flight : int
         Requests of the other routers that are there, as they told.
-    believed_tokens : int
+    expected_cached_tokens : int
         Leading prompt tokens believed cached there, at this incarnation,
         for this organisation and these weights.
     computed_share : float
@@ -66,7 +66,7 @@
     peer_prefill_tokens: int = 0
     ahead_share: float = 1.0
     peer_in_flight: int = 0
-    believed_tokens: int = 0
+    expected_cached_tokens: int = 0
     computed_share: float = 1.0
 
 
--- a/toucanrudder/prefix/beliefs.py
+++ b/toucanrudder/prefix/beliefs.py
@@ -74,9 +74,9 @@
     --------
     >>> beliefs = Beliefs()
     >>> beliefs.dispatched("hal-1", "a", (b"k1", b"k2"), now_s=1.0)
-    >>> beliefs.believed_tokens("hal-1", "a", (b"k1", b"k2"), now_s=2.0)
+    >>> beliefs.expected_cached_tokens("hal-1", "a", (b"k1", b"k2"), now_s=2.0)
     4000
-    >>> beliefs.believed_tokens("hal-1", "b", (b"k1", b"k2"), now_s=2.0)
+    >>> beliefs.expected_cached_tokens("hal-1", "b", (b"k1", b"k2"), now_s=2.0)
     0
     """
 
@@ -99,7 +99,7 @@
     def __len__(self) -> int:
         return sum(len(each.used_at_s) for each in self._engines.values())
 
-    def believed_tokens(
+    def expected_cached_tokens(
         self,
         upstream: str,
         incarnation: str,
--- a/toucanrudder/prefix/tests/test_prefix.py
+++ b/toucanrudder/prefix/tests/test_prefix.py
@@ -77,7 +77,9 @@
     """
     held = beliefs.Beliefs()
     held.dispatched("e", "one", KEYS, 1.0)
-    assert held.believed_tokens(upstream, incarnation, keys, 2.0) == tokens
+    assert (
+        held.expected_cached_tokens(upstream, incarnation, keys, 2.0) == tokens
+    )
 
 
 @pytest.mark.parametrize("changed", [{"organisation": "b"}, {"weights": "2"}])
@@ -89,8 +91,8 @@
     """
     held = beliefs.Beliefs()
     held.dispatched("e", "one", chain(), 1.0)
-    assert held.believed_tokens("e", "one", chain(), 2.0) == 4000
-    assert held.believed_tokens("e", "one", chain(**changed), 2.0) == 0
+    assert held.expected_cached_tokens("e", "one", chain(), 2.0) == 4000
+    assert held.expected_cached_tokens("e", "one", chain(**changed), 2.0) == 0
 
 
 def test_answer_of_a_new_incarnation_teaches_nothing_of_the_old():
@@ -104,7 +106,7 @@
     held.answered(
         "e", "new", KEYS[:1], expected_tokens=6000, cached_tokens=0, now_s=2.0
     )
-    assert held.believed_tokens("e", "new", KEYS, 2.0) == 2000
+    assert held.expected_cached_tokens("e", "new", KEYS, 2.0) == 2000
     assert held.accuracy.false_hit_rate == 1.0
 
 
@@ -129,7 +131,7 @@
     for kind, sequence, keys in events:
         arguments = (sequence,) if keys is None else (sequence, keys)
         getattr(held, kind)("e", "one", *arguments, now_s=1.0)
-    assert held.believed_tokens("e", "one", KEYS, 1.0) == tokens
+    assert held.expected_cached_tokens("e", "one", KEYS, 1.0) == tokens
 
 
 @pytest.mark.parametrize("told_by", ["line", "heartbeat"])
@@ -142,12 +144,12 @@
     held = beliefs.Beliefs(gap_max_age_s=10.0)
     held.stored("e", "one", 1, KEYS, 0.0)
     held.dispatched("e", "one", KEYS[:1], 25.0)
-    assert held.believed_tokens("e", "one", KEYS, 30.0) == 6000
+    assert held.expected_cached_tokens("e", "one", KEYS, 30.0) == 6000
     if told_by == "line":
         held.stored("e", "one", 3, (), 30.0)
     else:
         held.heartbeat("e", "one", 3, 30.0)
-    assert held.believed_tokens("e", "one", KEYS, 30.0) == 2000
+    assert held.expected_cached_tokens("e", "one", KEYS, 30.0) == 2000
 
 
 def test_beliefs_age_and_are_bounded():
@@ -155,7 +157,7 @@
         max_blocks_per_engine=4, max_engines=2, max_age_s=60.0
     )
     held.dispatched("e", "one", KEYS, 0.0)
-    assert held.believed_tokens("e", "one", KEYS, 61.0) == 0
+    assert held.expected_cached_tokens("e", "one", KEYS, 61.0) == 0
     for number in range(100):
         held.dispatched(f"e{number}", "one", KEYS, 1.0)
         held.dispatched("e", "one", (b"%d" % number,), 1.0)
@@ -166,7 +168,7 @@
     held = beliefs.Beliefs()
     held.dispatched("e", "one", KEYS, 0.0)
     held.failed("e", "one", KEYS)
-    assert held.believed_tokens("e", "one", KEYS, 0.0) == 0
+    assert held.expected_cached_tokens("e", "one", KEYS, 0.0) == 0
 
 
 def test_hot_prefixes_survive_a_flood_of_unique_ones():
--- a/toucanrudder/router/fleet.py
+++ b/toucanrudder/router/fleet.py
@@ -129,7 +129,7 @@
             own_prefill_tokens=own_tokens,
             peer_in_flight=peer_requests,
             peer_prefill_tokens=peer_tokens,
-            believed_tokens=self._beliefs.believed_tokens(
+            expected_cached_tokens=self._beliefs.expected_cached_tokens(
                 upstream.name, report.incarnation, request.prefix_keys, now_s
             ),
             computed_share=self._beliefs.computed_share(
