--- a/toucanrudder/filters/engine_try.py
+++ b/toucanrudder/filters/engine_try.py
@@ -182,7 +182,7 @@
 
     def _believe_sent(self) -> None:
         state = self.exchange.state
-        state.beliefs.dispatched(
+        state.beliefs.record_dispatch(
             self.upstream.name,
             self.decision.incarnation,
             self.exchange.request.prefix_keys,
@@ -198,8 +198,10 @@
             return
         state = self.exchange.state
         if attempt.answered_by != self.decision.incarnation:
-            state.beliefs.replaced(self.upstream.name, attempt.answered_by)
-        state.beliefs.answered(
+            state.beliefs.forget_replaced(
+                self.upstream.name, attempt.answered_by
+            )
+        state.beliefs.record_answer(
             self.upstream.name,
             attempt.answered_by,
             self.exchange.request.prefix_keys,
--- a/toucanrudder/prefix/beliefs.py
+++ b/toucanrudder/prefix/beliefs.py
@@ -73,7 +73,7 @@
     Examples
     --------
     >>> beliefs = Beliefs()
-    >>> beliefs.dispatched("hal-1", "a", (b"k1", b"k2"), now_s=1.0)
+    >>> beliefs.record_dispatch("hal-1", "a", (b"k1", b"k2"), now_s=1.0)
     >>> beliefs.expected_cached_tokens("hal-1", "a", (b"k1", b"k2"), now_s=2.0)
     4000
     >>> beliefs.expected_cached_tokens("hal-1", "b", (b"k1", b"k2"), now_s=2.0)
@@ -133,7 +133,7 @@
             blocks += 1
         return blocks * identity.BLOCK_TOKENS
 
-    def dispatched(
+    def record_dispatch(
         self,
         upstream: str,
         incarnation: str,
@@ -143,7 +143,7 @@
         """Note that a prompt was sent, so its blocks will be cached."""
         self._use(self._engine(upstream, incarnation), keys, now_s)
 
-    def answered(
+    def record_answer(
         self,
         upstream: str,
         incarnation: str,
@@ -193,7 +193,7 @@
         engine = self._engines.get((upstream, incarnation))
         return 1.0 if engine is None else engine.computed_share
 
-    def failed(
+    def withdraw_dispatch(
         self, upstream: str, incarnation: str, keys: Sequence[bytes]
     ) -> None:
         """Withdraw what a dispatch noted: the prompt was not computed."""
@@ -246,7 +246,7 @@
             engine.sequence = sequence
             self._distrust(engine, now_s)
 
-    def replaced(self, upstream: str, incarnation: str) -> None:
+    def forget_replaced(self, upstream: str, incarnation: str) -> None:
         """Forget all but the process that has just answered.
 
         A request that was sent to one process and answered by another
--- a/toucanrudder/prefix/tests/test_prefix.py
+++ b/toucanrudder/prefix/tests/test_prefix.py
@@ -76,7 +76,7 @@
     has yet noticed the crash and nothing was cleaned up.
     """
     held = beliefs.Beliefs()
-    held.dispatched("e", "one", KEYS, 1.0)
+    held.record_dispatch("e", "one", KEYS, 1.0)
     assert (
         held.expected_cached_tokens(upstream, incarnation, keys, 2.0) == tokens
     )
@@ -90,7 +90,7 @@
     not be credited: the engine would have to compute them anew.
     """
     held = beliefs.Beliefs()
-    held.dispatched("e", "one", chain(), 1.0)
+    held.record_dispatch("e", "one", chain(), 1.0)
     assert held.expected_cached_tokens("e", "one", chain(), 2.0) == 4000
     assert held.expected_cached_tokens("e", "one", chain(**changed), 2.0) == 0
 
@@ -102,8 +102,8 @@
     one; only the new one is known to hold the prompt now.
     """
     held = beliefs.Beliefs()
-    held.dispatched("e", "old", KEYS, 1.0)
-    held.answered(
+    held.record_dispatch("e", "old", KEYS, 1.0)
+    held.record_answer(
         "e", "new", KEYS[:1], expected_tokens=6000, cached_tokens=0, now_s=2.0
     )
     assert held.expected_cached_tokens("e", "new", KEYS, 2.0) == 2000
@@ -143,7 +143,7 @@
     """
     held = beliefs.Beliefs(gap_max_age_s=10.0)
     held.stored("e", "one", 1, KEYS, 0.0)
-    held.dispatched("e", "one", KEYS[:1], 25.0)
+    held.record_dispatch("e", "one", KEYS[:1], 25.0)
     assert held.expected_cached_tokens("e", "one", KEYS, 30.0) == 6000
     if told_by == "line":
         held.stored("e", "one", 3, (), 30.0)
@@ -156,18 +156,18 @@
     held = beliefs.Beliefs(
         max_blocks_per_engine=4, max_engines=2, max_age_s=60.0
     )
-    held.dispatched("e", "one", KEYS, 0.0)
+    held.record_dispatch("e", "one", KEYS, 0.0)
     assert held.expected_cached_tokens("e", "one", KEYS, 61.0) == 0
     for number in range(100):
-        held.dispatched(f"e{number}", "one", KEYS, 1.0)
-        held.dispatched("e", "one", (b"%d" % number,), 1.0)
+        held.record_dispatch(f"e{number}", "one", KEYS, 1.0)
+        held.record_dispatch("e", "one", (b"%d" % number,), 1.0)
     assert len(held) <= 8
 
 
 def test_failed_dispatch_is_withdrawn():
     held = beliefs.Beliefs()
-    held.dispatched("e", "one", KEYS, 0.0)
-    held.failed("e", "one", KEYS)
+    held.record_dispatch("e", "one", KEYS, 0.0)
+    held.withdraw_dispatch("e", "one", KEYS)
     assert held.expected_cached_tokens("e", "one", KEYS, 0.0) == 0
 
 
