--- a/toucanrudder/controllers/loads.py
+++ b/toucanrudder/controllers/loads.py
@@ -102,7 +102,7 @@
 
     def _start_due(self, group: asyncio.TaskGroup) -> None:
         upstreams = self._upstreams()
-        self._table.keep(frozenset(each.name for each in upstreams))
+        self._table.retain(frozenset(each.name for each in upstreams))
         now_s = self._clock()
         each_s = interval_s(self._wanted_interval_s, len(upstreams))
         for upstream in upstreams:
@@ -127,7 +127,7 @@
             self._take(upstream, report)
         except aiohttp.ClientConnectorError as error:
             if isinstance(error.os_error, ConnectionRefusedError):
-                self._table.gone(upstream.name)
+                self._table.mark_unreachable(upstream.name)
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
             # One poll that fails says little: a busy router misses some
             # itself.  The report's age tells when it has been too many.
@@ -160,6 +160,6 @@
     ) -> None:
         now_s = self._clock()
         before = self._table.get(upstream.name)
-        if self._table.heard(upstream.name, report, now_s):
+        if self._table.record_report(upstream.name, report, now_s):
             LOG.warning("upstream restarted", extra={"peer": upstream.name})
             self._on_restart(upstream.name, before.report.incarnation)
--- a/toucanrudder/router/admin_state.py
+++ b/toucanrudder/router/admin_state.py
@@ -27,7 +27,7 @@
 ) -> status.UpstreamStatus:
     known = state.loads.get(upstream.name)
     report = known.report if known else None
-    reachable = state.loads.healthy(upstream.name, now_s)
+    reachable = state.loads.is_healthy(upstream.name, now_s)
     unknown = "unknown" if reachable else "unreachable"
     told = report.state if report and reachable else unknown
     if state.instances.is_leaving(upstream.name, told):
--- a/toucanrudder/router/assembly.py
+++ b/toucanrudder/router/assembly.py
@@ -99,7 +99,7 @@
         live = [each.name for each in state.routers.live(state.now_s())]
         return name in sorted([*live, name])[:LEASE_CANDIDATES]
 
-    def engines() -> list[loads.Known]:
+    def engines() -> list[loads.ReceivedReport]:
         known = map(state.loads.get, _engine_names(state))
         return [each for each in known if each]
 
--- a/toucanrudder/router/state.py
+++ b/toucanrudder/router/state.py
@@ -189,7 +189,7 @@
             own_state in (None, instances.LIVE)
             and not self.instances.is_leaving(upstream.name, own_state)
             and not upstream.drained
-            and self.loads.reachable(upstream.name)
+            and self.loads.is_reachable(upstream.name)
         )
 
     def usable(
@@ -212,7 +212,7 @@
         """
         taking = tuple(filter(self._takes_work, upstreams))
         healthy = tuple(
-            each for each in taking if self.loads.healthy(each.name, now_s)
+            each for each in taking if self.loads.is_healthy(each.name, now_s)
         )
         return healthy or taking
 
@@ -310,7 +310,7 @@
     def unreachable(self, failure: failures.UpstreamFailure) -> None:
         """Send nothing there until a poll gets through again."""
         if failure.connection_refused:
-            self.loads.gone(failure.upstream)
+            self.loads.mark_unreachable(failure.upstream)
 
 
 def fingerprint_of(request: requests.ModelRequest) -> str:
--- a/toucanrudder/upstreams/loads.py
+++ b/toucanrudder/upstreams/loads.py
@@ -49,7 +49,7 @@
 
 
 @attrs.frozen
-class Known:
+class ReceivedReport:
     """A report with the monotonic time at which it arrived."""
 
     report: LoadReport
@@ -60,32 +60,34 @@
     """Reports and failures of polls, by upstream."""
 
     def __init__(self):
-        self._known: dict[str, Known] = {}
+        self._known: dict[str, ReceivedReport] = {}
         self._gone: set[str] = set()
 
-    def heard(self, name: str, report: LoadReport, now_s: float) -> bool:
+    def record_report(
+        self, name: str, report: LoadReport, now_s: float
+    ) -> bool:
         """Take a report; return whether the incarnation is a new one."""
         before = self._known.get(name)
-        self._known[name] = Known(report, now_s)
+        self._known[name] = ReceivedReport(report, now_s)
         self._gone.discard(name)
         return (
             before is not None
             and before.report.incarnation != report.incarnation
         )
 
-    def gone(self, name: str) -> None:
+    def mark_unreachable(self, name: str) -> None:
         """Note that nothing listens there; holds until the next report."""
         self._gone.add(name)
 
-    def get(self, name: str) -> Known | None:
+    def get(self, name: str) -> ReceivedReport | None:
         """Return the last report, or None before the first one."""
         return self._known.get(name)
 
-    def reachable(self, name: str) -> bool:
+    def is_reachable(self, name: str) -> bool:
         """Whether nothing has shown that the upstream is gone."""
         return name not in self._gone
 
-    def healthy(self, name: str, now_s: float) -> bool:
+    def is_healthy(self, name: str, now_s: float) -> bool:
         """Whether new work may be sent there, as far as polls tell.
 
         An upstream that was never heard of counts as healthy: a router
@@ -93,9 +95,9 @@
         """
         known = self._known.get(name)
         fresh = known is None or now_s - known.received_s <= STALE_S
-        return fresh and self.reachable(name)
+        return fresh and self.is_reachable(name)
 
-    def keep(self, names: frozenset[str]) -> None:
+    def retain(self, names: frozenset[str]) -> None:
         """Forget upstreams that the configuration no longer holds."""
         self._gone &= names
         for name in self._known.keys() - names:
