--- a/toucanrudder/filters/engine_try.py
+++ b/toucanrudder/filters/engine_try.py
@@ -75,7 +75,9 @@
         with state.in_flight.entry(self.upstream.name, entry):
             await self._relay(attempt, entry)
         if self.isolated:
-            state.suspicions.completed(entry.fingerprint, state.wall_s())
+            state.suspicions.record_completion(
+                entry.fingerprint, state.wall_s()
+            )
         self._learn(attempt)
         self._export()
 
--- a/toucanrudder/quarantine/suspicion.py
+++ b/toucanrudder/quarantine/suspicion.py
@@ -101,13 +101,13 @@
     --------
     >>> suspicions = Suspicions()
     >>> poison, other = entries_.InFlight("p"), entries_.InFlight("o")
-    >>> suspicions.crashed("e1", "i1", [poison, other], now_s=0.0)
-    >>> suspicions.check("o", now_s=1.0)
+    >>> suspicions.record_crash("e1", "i1", [poison, other], now_s=0.0)
+    >>> suspicions.standing("o", now_s=1.0)
     <Standing.SUSPECT: 'suspect'>
     >>> trial = entries_.InFlight("p", isolated=True)
-    >>> suspicions.crashed("e2", "i2", [trial], now_s=2.0)
-    >>> suspicions.check("p", now_s=3.0), suspicions.check("o", now_s=3.0)
-    (<Standing.QUARANTINED: 'quarantined'>, <Standing.FREE: 'free'>)
+    >>> suspicions.record_crash("e2", "i2", [trial], now_s=2.0)
+    >>> [suspicions.standing(name, now_s=3.0) for name in "po"]
+    [<Standing.QUARANTINED: 'quarantined'>, <Standing.FREE: 'free'>]
     """
 
     def __init__(
@@ -124,7 +124,7 @@
         self._entries: dict[tuple, entries_.Entry] = {}
         self._view: _View | None = None
 
-    def check(self, fingerprint: str, now_s: float) -> Standing:
+    def standing(self, fingerprint: str, now_s: float) -> Standing:
         """Return how the request is to be treated.
 
         Parameters
@@ -146,7 +146,7 @@
             return Standing.SUSPECT
         return Standing.FREE
 
-    def trial(
+    def plan_trial(
         self, fingerprint: str, upstreams: Sequence[str], now_s: float
     ) -> Trial | None:
         """Return where and when a suspect may run.
@@ -213,7 +213,7 @@
             return 0.0
         return cycle_s - offset_s
 
-    def crashed(
+    def record_crash(
         self,
         upstream: str,
         incarnation: str,
@@ -248,13 +248,15 @@
         ]
         self.merge(noted, now_s)
 
-    def presumed_dead(
+    def is_presumed_dead(
         self, upstream: str, incarnation: str, now_s: float
     ) -> bool:
         """Whether entries say that the engine process crashed."""
         return (upstream, incarnation) in self._current(now_s).crashes
 
-    def alive(self, upstream: str, incarnation: str, now_s: float) -> None:
+    def record_alive(
+        self, upstream: str, incarnation: str, now_s: float
+    ) -> None:
         """Note that a process presumed dead has answered since.
 
         A network that cuts connections looks like a crash from where the
@@ -266,9 +268,9 @@
         )
         self.merge([entry], now_s)
 
-    def completed(self, fingerprint: str, now_s: float) -> None:
+    def record_completion(self, fingerprint: str, now_s: float) -> None:
         """Note that a suspect ran to its end without a crash."""
-        if self.check(fingerprint, now_s) is Standing.SUSPECT:
+        if self.standing(fingerprint, now_s) is Standing.SUSPECT:
             self._add(entries_.Kind.CLEARED, fingerprint, now_s)
 
     def release(self, fingerprint: str, now_s: float) -> None:
--- a/toucanrudder/quarantine/tests/test_suspicion.py
+++ b/toucanrudder/quarantine/tests/test_suspicion.py
@@ -76,7 +76,7 @@
         suspicions = suspicion.Suspicions()
         for one in order:
             suspicions.merge([one, one], NOW_S)
-        got = {name: suspicions.check(name, NOW_S + 9) for name in want}
+        got = {name: suspicions.standing(name, NOW_S + 9) for name in want}
         assert got == want
 
 
@@ -105,19 +105,19 @@
         one.merge(other, NOW_S)
     assert set(a.entries(NOW_S)) == set(b.entries(NOW_S))
     assert not a.merge(b.entries(NOW_S), NOW_S)
-    assert [a.check(n, NOW_S) for n in "abc"] == [
-        b.check(n, NOW_S) for n in "abc"
+    assert [a.standing(n, NOW_S) for n in "abc"] == [
+        b.standing(n, NOW_S) for n in "abc"
     ]
 
 
 def test_entries_expire_and_are_bounded():
     suspicions = suspicion.Suspicions(expiry_s=10.0, max_entries=3)
     suspicions.merge([crash(f"r{i}", NOW_S + i) for i in range(5)], NOW_S)
-    assert [suspicions.check(f"r{i}", NOW_S) for i in (1, 2)] == [
+    assert [suspicions.standing(f"r{i}", NOW_S) for i in (1, 2)] == [
         FREE,
         SUSPECT,
     ]
-    assert suspicions.check("r4", NOW_S + 15) is FREE
+    assert suspicions.standing("r4", NOW_S + 15) is FREE
     assert suspicions.entries(NOW_S + 15) == ()
     assert not suspicions.merge([crash("late", NOW_S)], NOW_S + 15)
 
@@ -125,9 +125,9 @@
 def test_a_crash_of_an_unknown_process_is_no_second_crash():
     suspicions = suspicion.Suspicions()
     on_trial = entry.InFlight("p", isolated=True)
-    suspicions.crashed("e1", "i1", [on_trial], NOW_S)
-    suspicions.crashed("e1", "", [on_trial], NOW_S)
-    assert suspicions.check("p", NOW_S) is SUSPECT
+    suspicions.record_crash("e1", "i1", [on_trial], NOW_S)
+    suspicions.record_crash("e1", "", [on_trial], NOW_S)
+    assert suspicions.standing("p", NOW_S) is SUSPECT
 
 
 FLEETS = [(4, 3, 1), (4, 8, 3), (2, 8, 7), (8, 8, 7), (1, 3, 2)]
@@ -151,7 +151,7 @@
     poison = names[0]
     alive = [f"e{i}" for i in range(engines)]
     for name in names:
-        rng.choice(fleet).crashed(
+        rng.choice(fleet).record_crash(
             "e-first", "1", [entry.InFlight(name)], NOW_S
         )
     spread(fleet)
@@ -160,12 +160,12 @@
         running = {}
         for name in names:
             router = rng.choice(fleet)
-            standing = router.check(name, now_s)
+            standing = router.standing(name, now_s)
             if name in answered or standing is QUARANTINED:
                 continue
             engine = rng.choice(alive)
             if standing is SUSPECT:
-                place = router.trial(name, alive, now_s)
+                place = router.plan_trial(name, alive, now_s)
                 if place.wait_s > 0:
                     continue
                 engine = place.upstream
@@ -178,9 +178,9 @@
             for router, name, isolated in requests:
                 flight = entry.InFlight(name, isolated)
                 if died:
-                    router.crashed(engine, str(deaths), [flight], now_s)
+                    router.record_crash(engine, str(deaths), [flight], now_s)
                 else:
-                    router.completed(name, now_s)
+                    router.record_completion(name, now_s)
                     answered.add(name)
         spread(fleet)
         now_s += 0.7
@@ -201,17 +201,17 @@
     poll: neither crashed, and the request goes free on every router.
     """
     here, there = suspicion.Suspicions(), suspicion.Suspicions()
-    here.crashed("e1", "i1", [entry.InFlight("p")], now_s=0.0)
+    here.record_crash("e1", "i1", [entry.InFlight("p")], now_s=0.0)
     trial = entry.InFlight("p", isolated=True)
-    here.crashed("e2", "i2", [trial], now_s=1.0)
-    assert here.check("p", 2.0) is QUARANTINED
-    assert here.presumed_dead("e1", "i1", 2.0)
+    here.record_crash("e2", "i2", [trial], now_s=1.0)
+    assert here.standing("p", 2.0) is QUARANTINED
+    assert here.is_presumed_dead("e1", "i1", 2.0)
     held = here.detail("p", 2.0)
     assert (held.crashes, held.expires_in_s) == (2, suspicion.EXPIRY_S - 2)
-    here.alive("e1", "i1", 3.0)
-    assert here.check("p", 3.0) is SUSPECT
-    here.alive("e2", "i2", 4.0)
-    assert here.check("p", 4.0) is FREE
-    assert not here.presumed_dead("e1", "i1", 4.0)
+    here.record_alive("e1", "i1", 3.0)
+    assert here.standing("p", 3.0) is SUSPECT
+    here.record_alive("e2", "i2", 4.0)
+    assert here.standing("p", 4.0) is FREE
+    assert not here.is_presumed_dead("e1", "i1", 4.0)
     there.merge(here.entries(4.0), 4.0)
-    assert there.check("p", 4.0) is FREE
+    assert there.standing("p", 4.0) is FREE
--- a/toucanrudder/router/state.py
+++ b/toucanrudder/router/state.py
@@ -254,7 +254,7 @@
         RudderError
             ``quarantined``: engines died of it; it is not tried again.
         """
-        standing = self.suspicions.check(
+        standing = self.suspicions.standing(
             fingerprint_of(request), self.wall_s()
         )
         if standing is quarantine.Standing.QUARANTINED:
@@ -277,10 +277,10 @@
         fingerprint, wall_s = fingerprint_of(request), self.wall_s()
         # All routers rank over the same configuration; what each can use
         # at the moment differs and would send two suspects to one engine.
-        trial = self.suspicions.trial(fingerprint, configured, wall_s)
+        trial = self.suspicions.plan_trial(fingerprint, configured, wall_s)
         if trial is None or trial.upstream in usable:
             return trial
-        return self.suspicions.trial(fingerprint, sorted(usable), wall_s)
+        return self.suspicions.plan_trial(fingerprint, sorted(usable), wall_s)
 
     def crashed(self, upstream: str, incarnation: str) -> None:
         """Note that an engine process died with our requests in it.
@@ -292,20 +292,22 @@
             for entry in self.in_flight.entries(upstream)
             if entry.incarnation in ("", incarnation)
         ]
-        self.suspicions.crashed(upstream, incarnation, there, self.wall_s())
+        self.suspicions.record_crash(
+            upstream, incarnation, there, self.wall_s()
+        )
         self.beliefs.forget(upstream, incarnation)
         # The caller's resend may meet another router at once.
         self.hasten()
 
     def presumed_dead(self, upstream: str, incarnation: str) -> bool:
         """Whether the quarantine counts a crash of this engine process."""
-        return self.suspicions.presumed_dead(
+        return self.suspicions.is_presumed_dead(
             upstream, incarnation, self.wall_s()
         )
 
     def alive(self, upstream: str, incarnation: str) -> None:
         """Note that an engine process presumed dead has answered."""
-        self.suspicions.alive(upstream, incarnation, self.wall_s())
+        self.suspicions.record_alive(upstream, incarnation, self.wall_s())
 
     def unreachable(self, failure: failures.UpstreamFailure) -> None:
         """Send nothing there until a poll gets through again."""
