--- a/toucanrudder/prefix/heat.py
+++ b/toucanrudder/prefix/heat.py
@@ -113,7 +113,7 @@
             for _scaled, key in reversed(hottest)
         )
 
-    def heard(
+    def update_peer(
         self,
         peer: str,
         prefixes: Iterable[HotPrefix],
--- a/toucanrudder/prefix/tests/test_prefix.py
+++ b/toucanrudder/prefix/tests/test_prefix.py
@@ -201,7 +201,7 @@
 
 def test_peers_heat_counts_until_they_fall_silent():
     counts = heat.Heat(peer_max_age_s=5.0)
-    counts.heard("r2", (heat.HotPrefix(b"a", 3.0),), 7.0, 10.0)
+    counts.update_peer("r2", (heat.HotPrefix(b"a", 3.0),), 7.0, 10.0)
     assert counts.rates((b"a",), 12.0) == {b"a": 3.0}
     assert counts.total_rate_per_s(12.0) == 7.0
     assert counts.rates((b"a",), 16.0) == {b"a": 0.0}
--- a/toucanrudder/router/peering.py
+++ b/toucanrudder/router/peering.py
@@ -48,7 +48,7 @@
         total_rate_per_s: float,
         now_s: float,
     ) -> None:
-        state.heat.heard(peer, prefixes, total_rate_per_s, now_s)
+        state.heat.update_peer(peer, prefixes, total_rate_per_s, now_s)
 
     return nodes.Sources(
         loads=lambda: _own_loads(state),
