--- a/toucanrudder/filters/model_call.py
+++ b/toucanrudder/filters/model_call.py
@@ -81,7 +81,7 @@
 
     async def _run(self) -> None:
         state = self.exchange.state
-        state.budget(self._pool()).request(state.now_s())
+        state.budget(self._pool()).record_request(state.now_s())
         while True:
             decision, isolated = await self._placed()
             self.tried.add(decision.upstream)
--- a/toucanrudder/filters/service.py
+++ b/toucanrudder/filters/service.py
@@ -307,7 +307,7 @@
 ) -> Any:
     """Send to one instance after the other while that is safe."""
     state = exchange.state
-    state.budget(call.service.name).request(state.now_s())
+    state.budget(call.service.name).record_request(state.now_s())
     tried: set[str] = set()
     ran = errors.Ran.NOT_RUN
     while True:
@@ -334,7 +334,7 @@
     state = exchange.state
     proved = failure.kind in failures.PROVES_NOT_RUN
     safe = proved or call.repeatable
-    if safe and state.budget(call.service.name).spend(state.now_s()):
+    if safe and state.budget(call.service.name).try_spend(state.now_s()):
         return
     raise errors.RudderError(
         errors.Code.UPSTREAM_NOT_REACHED
--- a/toucanrudder/retries/budget.py
+++ b/toucanrudder/retries/budget.py
@@ -19,25 +19,25 @@
         Retries that each request pays for.
     minimum_per_s : float
         Retries a second that are allowed without traffic.
-    burst : float
+    max_saved : float
         Most retries that may be saved up.
-    start : float
+    initial_retries : float
         Retries saved up when the pool is first seen.  A crash early in a
         router's life hits a whole batch at once: without savings most of
         its innocent requests would be refused.
 
     Examples
     --------
-    >>> budget = RetryBudget(ratio=0.5, minimum_per_s=0.0, burst=10.0)
-    >>> budget.request(now_s=0.0); budget.request(now_s=0.0)
-    >>> budget.spend(now_s=0.0), budget.spend(now_s=0.0)
+    >>> budget = RetryBudget(ratio=0.5, minimum_per_s=0.0, max_saved=10.0)
+    >>> budget.record_request(now_s=0.0); budget.record_request(now_s=0.0)
+    >>> budget.try_spend(now_s=0.0), budget.try_spend(now_s=0.0)
     (True, False)
     """
 
     ratio: float = 0.2
     minimum_per_s: float = 1.0
-    burst: float = 20.0
-    start: float = 0.0
+    max_saved: float = 20.0
+    initial_retries: float = 0.0
     _saved: float = attrs.field(default=0.0, init=False)
     _at_s: float | None = attrs.field(default=None, init=False)
 
@@ -49,21 +49,23 @@
     def _refill(self, now_s: float) -> None:
         if self._at_s is None:
             # A pool that has not been seen yet may retry at once.
-            self._saved = min(self.burst, self.minimum_per_s + self.start)
+            self._saved = min(
+                self.max_saved, self.minimum_per_s + self.initial_retries
+            )
         else:
             passed_s = max(0.0, now_s - self._at_s)
             self._save(passed_s * self.minimum_per_s)
         self._at_s = now_s
 
     def _save(self, amount: float) -> None:
-        self._saved = min(self.burst, self._saved + amount)
+        self._saved = min(self.max_saved, self._saved + amount)
 
-    def request(self, now_s: float) -> None:
+    def record_request(self, now_s: float) -> None:
         """Note a caller's request to the pool (not a retry)."""
         self._refill(now_s)
         self._save(self.ratio)
 
-    def spend(self, now_s: float) -> bool:
+    def try_spend(self, now_s: float) -> bool:
         """Take one retry from the budget.
 
         Parameters
--- a/toucanrudder/retries/decision.py
+++ b/toucanrudder/retries/decision.py
@@ -175,7 +175,7 @@
             ran,
             MAX_DELAY_S,
         )
-    if refusal is None and not budget.spend(now_s):
+    if refusal is None and not budget.try_spend(now_s):
         refusal = Refuse(
             codes.Code.RETRY_BUDGET_SPENT,
             "too many tries at this pool are failing",
--- a/toucanrudder/retries/tests/test_decision.py
+++ b/toucanrudder/retries/tests/test_decision.py
@@ -41,7 +41,7 @@
 def test_decisions(failure, answer, tries, deadline_s, left, want):
     budget = retries.RetryBudget(ratio=1.0, minimum_per_s=0.0)
     for _ in range(left):
-        budget.request(0.0)
+        budget.record_request(0.0)
     got = retries.decide(
         failure,
         answer,
@@ -70,10 +70,10 @@
     requests, tries = 2000, 0
     for number in range(requests):
         now_s = number / 100
-        budget.request(now_s)
+        budget.record_request(now_s)
         tries += 1
         for _ in range(2):
-            if rng.random() >= rate or not budget.spend(now_s):
+            if rng.random() >= rate or not budget.try_spend(now_s):
                 break
             tries += 1
-    assert tries / requests <= 1 + ratio + budget.burst / requests
+    assert tries / requests <= 1 + ratio + budget.max_saved / requests
--- a/toucanrudder/router/state.py
+++ b/toucanrudder/router/state.py
@@ -164,7 +164,7 @@
         """Return the retry budget of an upstream pool."""
         budget = self._budgets.get(pool)
         if budget is None:
-            budget = retries.RetryBudget(start=START_RETRIES)
+            budget = retries.RetryBudget(initial_retries=START_RETRIES)
             self._budgets[pool] = budget
         # Read each time: a budget outlives the document it began under.
         budget.ratio = self.document().policy.retry_ratio
