--- a/toucanrudder/filters/engine_try.py
+++ b/toucanrudder/filters/engine_try.py
@@ -64,7 +64,7 @@
         state = self.exchange.state
         request = self.exchange.request
         missing = request.prompt_tokens - self.decision.expected_hit_tokens
-        entry = in_flight.Entry(
+        entry = in_flight.InFlightRequest(
             states.fingerprint_of(request),
             prefill_tokens=max(0, missing),
             incarnation=self.decision.incarnation,
@@ -72,7 +72,7 @@
             priority=int(request.priority),
         )
         attempt = self._attempt(entry)
-        with state.in_flight.entry(self.upstream.name, entry):
+        with state.in_flight.track(self.upstream.name, entry):
             await self._relay(attempt, entry)
         if self.isolated:
             state.suspicions.record_completion(
@@ -82,7 +82,7 @@
         self._export()
 
     async def _relay(
-        self, attempt: attempts.Attempt, entry: in_flight.Entry
+        self, attempt: attempts.Attempt, entry: in_flight.InFlightRequest
     ) -> None:
         state = self.exchange.state
         try:
@@ -101,7 +101,7 @@
                 )
             raise
 
-    async def _import(self, entry: in_flight.Entry) -> None:
+    async def _import(self, entry: in_flight.InFlightRequest) -> None:
         state = self.exchange.state
         store = self.exchange.document.policy.kv_store
         if not store or state.kept is None or self.order.last:
@@ -127,7 +127,7 @@
         if hot:
             state.spawn(state.kept.export(self.upstream, hot, store))
 
-    def _attempt(self, entry: in_flight.Entry) -> attempts.Attempt:
+    def _attempt(self, entry: in_flight.InFlightRequest) -> attempts.Attempt:
         state = self.exchange.state
 
         def first() -> None:
--- a/toucanrudder/filters/service.py
+++ b/toucanrudder/filters/service.py
@@ -152,7 +152,9 @@
             retry_after_s=NO_UPSTREAM_RETRY_S,
         )
     state.rng.shuffle(usable)
-    return min(usable, key=lambda each: state.in_flight.requests(each.name))
+    return min(
+        usable, key=lambda each: state.in_flight.request_count(each.name)
+    )
 
 
 @contextlib.asynccontextmanager
@@ -171,8 +173,8 @@
     state = exchange.state
     passed = service.passed_headers(exchange.http.headers)
     passed[headers.REQUEST_ID] = exchange.request_id
-    entry = in_flight.Entry("", 0)
-    with state.in_flight.entry(upstream.name, entry):
+    entry = in_flight.InFlightRequest("", 0)
+    with state.in_flight.track(upstream.name, entry):
         async with state.services.call(
             upstream,
             call.method,
--- a/toucanrudder/router/admin_state.py
+++ b/toucanrudder/router/admin_state.py
@@ -41,7 +41,7 @@
         incarnation=report.incarnation if report else "",
         running=report.running if report else 0,
         waiting=report.waiting if report else 0,
-        own_in_flight=state.in_flight.requests(upstream.name),
+        own_in_flight=state.in_flight.request_count(upstream.name),
         report_age_s=now_s - known.received_s if known else None,
     )
 
--- a/toucanrudder/router/assembly.py
+++ b/toucanrudder/router/assembly.py
@@ -195,7 +195,7 @@
         conf.store.address, sessions.shared, sessions.fresh
     )
     load_table = loads.LoadTable()
-    own = in_flight.InFlight()
+    own = in_flight.InFlightTable()
     believed = beliefs.Beliefs()
     hot = heat.Heat()
     others = peer_loads.PeerLoads(conf.peers.silent_s)
--- a/toucanrudder/router/fleet.py
+++ b/toucanrudder/router/fleet.py
@@ -26,7 +26,7 @@
         Placement policy by its name in the settings.
     load_table : loads.LoadTable
         Reports.
-    own : in_flight.InFlight
+    own : in_flight.InFlightTable
         This router's own work.
     believed : beliefs.Beliefs
         Where prefixes are believed cached.
@@ -42,7 +42,7 @@
         zone: str,
         policy_name: str,
         load_table: loads.LoadTable,
-        own: in_flight.InFlight,
+        own: in_flight.InFlightTable,
         believed: beliefs.Beliefs,
         hot: heat.Heat,
         others: peer_loads.PeerLoads,
@@ -96,7 +96,7 @@
         now_s: float,
     ) -> types.UpstreamView:
         known = self._loads.get(upstream.name)
-        own_requests = self._own.requests(upstream.name)
+        own_requests = self._own.request_count(upstream.name)
         own_tokens = self._own.prefill_tokens(upstream.name)
         peer_requests = self._others.requests(upstream.name, now_s)
         peer_tokens = self._others.prefill_tokens(upstream.name, now_s)
--- a/toucanrudder/router/peering.py
+++ b/toucanrudder/router/peering.py
@@ -68,7 +68,7 @@
         messages.UpstreamLoad(
             name,
             state.in_flight.prefill_tokens(name),
-            state.in_flight.requests(name),
+            state.in_flight.request_count(name),
         )
-        for name in state.in_flight.busy()
+        for name in state.in_flight.busy_upstreams()
     )
--- a/toucanrudder/router/state.py
+++ b/toucanrudder/router/state.py
@@ -87,7 +87,7 @@
     engines: engine.EngineClient
     services: service.ServiceClient
     loads: loads.LoadTable
-    in_flight: in_flight.InFlight
+    in_flight: in_flight.InFlightTable
     beliefs: beliefs.Beliefs
     heat: heat.Heat
     fleet: fleet.Fleet
--- a/toucanrudder/upstreams/in_flight.py
+++ b/toucanrudder/upstreams/in_flight.py
@@ -7,7 +7,7 @@
 
 
 @attrs.define(eq=False)
-class Entry:
+class InFlightRequest:
     """One request that is at an upstream now.
 
     Parameters
@@ -33,25 +33,27 @@
     priority: int = 0
 
 
-class InFlight:
+class InFlightTable:
     """Entries by upstream.
 
     Examples
     --------
     >>> from toucanrudder.upstreams import in_flight
-    >>> table = in_flight.InFlight()
-    >>> with table.entry("e1", in_flight.Entry("f", 100)):
-    ...     table.requests("e1"), table.prefill_tokens("e1")
+    >>> table = in_flight.InFlightTable()
+    >>> with table.track("e1", in_flight.InFlightRequest("f", 100)):
+    ...     table.request_count("e1"), table.prefill_tokens("e1")
     (1, 100)
-    >>> table.requests("e1")
+    >>> table.request_count("e1")
     0
     """
 
     def __init__(self):
-        self._entries: dict[str, set[Entry]] = {}
+        self._entries: dict[str, set[InFlightRequest]] = {}
 
     @contextlib.contextmanager
-    def entry(self, upstream: str, entry: Entry) -> Iterator[Entry]:
+    def track(
+        self, upstream: str, entry: InFlightRequest
+    ) -> Iterator[InFlightRequest]:
         """Count the entry for as long as the context is open."""
         entries = self._entries.setdefault(upstream, set())
         entries.add(entry)
@@ -60,7 +62,7 @@
         finally:
             entries.discard(entry)
 
-    def requests(self, upstream: str) -> int:
+    def request_count(self, upstream: str) -> int:
         """Return how many requests are there."""
         return len(self._entries.get(upstream, ()))
 
@@ -83,10 +85,10 @@
                     ahead += entry.prefill_tokens
         return ahead / total if total else 1.0
 
-    def entries(self, upstream: str) -> tuple[Entry, ...]:
+    def entries(self, upstream: str) -> tuple[InFlightRequest, ...]:
         """Return the entries at the upstream."""
         return tuple(self._entries.get(upstream, ()))
 
-    def busy(self) -> tuple[str, ...]:
+    def busy_upstreams(self) -> tuple[str, ...]:
         """Return the upstreams at which there are requests."""
         return tuple(name for name, there in self._entries.items() if there)
