--- a/toucanrudder/admission/caps.py
+++ b/toucanrudder/admission/caps.py
@@ -27,7 +27,7 @@
 MAX_ORGANISATIONS = 10_000
 
 #: Routers that keep a balance of each organisation.
-OWNERS = 2
+OWNER_COUNT = 2
 
 #: Part of the overrun that owners grant.  The rest is for routers that can
 #: ask none.
@@ -116,29 +116,34 @@
     overrun: float = 0.0
 
     @property
-    def debt(self) -> float:
+    def max_overdraft(self) -> float:
         """Units by which one request may overdraw an owner's half."""
-        return self.slack / OWNERS
+        return self.slack / OWNER_COUNT
 
-    def most(self, cap: Cap) -> float:
+    def window_allowance(self, cap: Cap) -> float:
         """Return what a cap admits in one window."""
         return cap.rate_per_s * self.window_s + cap.burst
 
     def burst(self, cap: Cap) -> float:
         """Return what owners grant at once, together."""
-        return cap.burst + GRANTED_OVERRUN * self.overrun * self.most(cap)
+        return (
+            cap.burst
+            + GRANTED_OVERRUN * self.overrun * self.window_allowance(cap)
+        )
 
     def reserve(self, cap: Cap) -> float:
         """Return what routers that can ask no owner admit, together."""
-        return (1.0 - GRANTED_OVERRUN) * self.overrun * self.most(cap)
+        return (
+            (1.0 - GRANTED_OVERRUN) * self.overrun * self.window_allowance(cap)
+        )
 
     def start_reserve(self, cap: Cap) -> float:
         """Return the same for a fleet that starts."""
-        return START_SHARE * self.most(cap)
+        return START_SHARE * self.window_allowance(cap)
 
-    def limit(self, cap: Cap) -> float:
+    def window_limit(self, cap: Cap) -> float:
         """Return what may pass in one window, over all routers."""
-        return (1.0 + self.overrun) * self.most(cap) + self.slack
+        return (1.0 + self.overrun) * self.window_allowance(cap) + self.slack
 
 
 class Outcome(enum.Enum):
@@ -171,7 +176,7 @@
 
 
 @attrs.define
-class Balance:
+class TokenBucket:
     """What an organisation may use now, filled up at a steady rate.
 
     A request passes unless the balance is overdrawn, whatever it costs, and
@@ -190,10 +195,11 @@
 
     Examples
     --------
-    >>> balance, limits = Balance(0.0, 0.0), Limits(100.0, 50.0, debt=200.0)
-    >>> balance.take(200, limits, 0.1).outcome
+    >>> bucket = TokenBucket(0.0, 0.0)
+    >>> limits = Limits(100.0, 50.0, max_overdraft=200.0)
+    >>> bucket.try_spend(200, limits, 0.1).outcome
     <Outcome.GRANTED: 'granted'>
-    >>> balance.take(10, limits, 0.1)
+    >>> bucket.try_spend(10, limits, 0.1)
     Decision(outcome=<Outcome.REFUSED: 'refused'>, wait_s=1.9)
     """
 
@@ -206,9 +212,11 @@
         passed_s = max(0.0, now_s - self.at_s)
         self.at_s = max(self.at_s, now_s)
         gained = passed_s * limits.rate_per_s
-        self.level = min(limits.most, self.level + gained)
+        self.level = min(limits.max_units, self.level + gained)
 
-    def take(self, cost: float, limits: "Limits", now_s: float) -> Decision:
+    def try_spend(
+        self, cost: float, limits: "Limits", now_s: float
+    ) -> Decision:
         """Decide on a request, and count it if it may be sent.
 
         Parameters
@@ -248,21 +256,21 @@
     ----------
     rate_per_s : float
         Units a second.
-    most : float
+    max_units : float
         Units at once.
-    debt : float
+    max_overdraft : float
         Units by which one request may overdraw a balance.
     """
 
     rate_per_s: float
-    most: float
-    debt: float = 0.0
+    max_units: float
+    max_overdraft: float = 0.0
 
     def least(self, cost: float) -> float:
         """Return the least balance with which a request passes."""
-        if cost <= SMALL_SHARE * self.debt:
-            return -SMALL_DEBT_SHARE * self.debt
-        return max(0.0, min(cost, self.most) - self.debt)
+        if cost <= SMALL_SHARE * self.max_overdraft:
+            return -SMALL_DEBT_SHARE * self.max_overdraft
+        return max(0.0, min(cost, self.max_units) - self.max_overdraft)
 
 
 class Ledger:
@@ -277,8 +285,8 @@
     --------
     >>> ledger = Ledger(Bounds(8.0))
     >>> cap = Cap(10.0, 20.0)
-    >>> ledger.owned_since(0.0)
-    >>> taken = [ledger.take("north", cap, 1, 5.0) for _ in range(21)]
+    >>> ledger.set_owner_since(0.0)
+    >>> taken = [ledger.try_spend("north", cap, 1, 5.0) for _ in range(21)]
     >>> [each.outcome.value for each in taken[-2:]]
     ['granted', 'refused']
     """
@@ -288,11 +296,11 @@
         self._balances = cachetools.LRUCache(MAX_ORGANISATIONS)
         self._since_s = float("inf")
 
-    def owned_since(self, since_s: float) -> None:
+    def set_owner_since(self, since_s: float) -> None:
         """Note from when on this router may have been an owner."""
         self._since_s = since_s
 
-    def names(self) -> list[str]:
+    def organisations(self) -> list[str]:
         """Return the organisations of which a balance is kept."""
         return list(self._balances)
 
@@ -300,7 +308,7 @@
         """Forget the balance of an organisation that others own now."""
         self._balances.pop(name, None)
 
-    def empty(self, now_s: float) -> None:
+    def restart_empty(self, now_s: float) -> None:
         """Let all balances begin anew, without a burst.
 
         Failure: an owner is frozen, and another takes its place.  Symptom:
@@ -311,7 +319,7 @@
             balance.level = min(balance.level, 0.0)
             balance.at_s = now_s
 
-    def take(
+    def try_spend(
         self,
         name: str,
         cap: Cap,
@@ -335,16 +343,18 @@
         share : float
             Part of the cap that is given out here.
         """
-        if cost > self.bounds.most(cap):
+        if cost > self.bounds.window_allowance(cap):
             return TOO_LARGE
         limits = Limits(
             share * cap.rate_per_s,
             share * self.bounds.burst(cap),
-            self.bounds.debt,
+            self.bounds.max_overdraft,
+        )
+        return self._balance(name, limits, now_s).try_spend(
+            cost, limits, now_s
         )
-        return self._balance(name, limits, now_s).take(cost, limits, now_s)
 
-    def settle(self, name: str, units: float) -> None:
+    def charge(self, name: str, units: float) -> None:
         """Count units beside, if a balance is kept here.
 
         Negative ones were granted, and not used.
@@ -353,17 +363,17 @@
         if balance is not None:
             balance.level -= units
 
-    def _balance(self, name: str, limits: Limits, now_s: float) -> Balance:
+    def _balance(self, name: str, limits: Limits, now_s: float) -> TokenBucket:
         found = self._balances.get(name)
         if found is None:
             owned_s = max(0.0, now_s - self._since_s)
-            level = min(limits.most, owned_s * limits.rate_per_s)
-            found = self._balances[name] = Balance(level, now_s)
+            level = min(limits.max_units, owned_s * limits.rate_per_s)
+            found = self._balances[name] = TokenBucket(level, now_s)
         return found
 
 
 @attrs.define
-class EqualShares:
+class ReserveLimiter:
     """What a router admits by itself while no owner can be asked.
 
     A share is often smaller than one request.  What lies above it passes in
@@ -384,14 +394,14 @@
         factory=lambda: cachetools.LRUCache(MAX_ORGANISATIONS)
     )
 
-    def take(
+    def try_spend(
         self,
         name: str,
         cap: Cap,
         cost: float,
         now_s: float,
         *,
-        most: float,
+        max_units: float,
     ) -> Decision:
         """Decide on a request by this router's share of a reserve.
 
@@ -405,16 +415,16 @@
             In the cap's unit.
         now_s : float
             Monotonic time.
-        most : float
+        max_units : float
             Units that this router may admit in one window.
         """
-        if cost > self.bounds.most(cap):
+        if cost > self.bounds.window_allowance(cap):
             return TOO_LARGE
         # Half at once, and half over the window, make the whole.
-        limits = Limits(most / 2 / self.bounds.window_s, most / 2)
+        limits = Limits(max_units / 2 / self.bounds.window_s, max_units / 2)
         balance = self._balances.get(name)
         if balance is None:
-            balance = Balance(limits.most, now_s)
+            balance = TokenBucket(limits.max_units, now_s)
             self._balances[name] = balance
         balance.refill(limits, now_s)
         if balance.level > cost * self.rng.random():
@@ -459,6 +469,6 @@
         return live / max(number for _, number in self._most)
 
 
-def is_valid(units: float) -> bool:
+def is_finite(units: float) -> bool:
     """Return whether a router's word on units can be true."""
     return math.isfinite(units)
--- a/toucanrudder/forwarding/capping.py
+++ b/toucanrudder/forwarding/capping.py
@@ -104,7 +104,7 @@
         if found is None:
             by_name = {each.name: each for each in self._ranked_of}
             key = f"cap/{organisation}".encode()[:64]
-            ranked = rendezvous.ranked(key, by_name)[: caps.OWNERS]
+            ranked = rendezvous.ranked(key, by_name)[: caps.OWNER_COUNT]
             found = tuple(by_name[name] for name in ranked)
             self._owners[organisation] = found
         return found
@@ -166,7 +166,7 @@
         self._organisation_of = organisation_of
         self._rng = rng
         self._ledger = caps.Ledger(bounds)
-        self._shares = caps.EqualShares(bounds, rng)
+        self._shares = caps.ReserveLimiter(bounds, rng)
         self._size = caps.FleetSize(bounds.window_s)
         self._refusals: dict[tuple[str, str], _Refusal] = {}
         self._shunned_until_s: dict[str, float] = {}
@@ -305,7 +305,9 @@
     ) -> caps.Decision:
         share = self._size.share(self._owners.count, now_s)
         share /= len(self._owners.of(organisation))
-        return self._ledger.take(organisation, cap, cost, now_s, share=share)
+        return self._ledger.try_spend(
+            organisation, cap, cost, now_s, share=share
+        )
 
     def _by_share(
         self, organisation: str, cap: caps.Cap, cost: float
@@ -316,8 +318,8 @@
             routers = max(routers, ASSUMED_ROUTERS)
             reserve = self._bounds.start_reserve(cap)
         now_s = clock.now_s()
-        return self._shares.take(
-            organisation, cap, cost, now_s, most=reserve / routers
+        return self._shares.try_spend(
+            organisation, cap, cost, now_s, max_units=reserve / routers
         )
 
     def _settle(self, organisation: str, units: float) -> None:
@@ -325,7 +327,7 @@
         self._look(clock.now_s())
         owner = self._rng.choice(self._owners.of(organisation))
         if not owner.address:
-            self._ledger.settle(organisation, units)
+            self._ledger.charge(organisation, units)
             return
         told = self._ask(owner.address, organisation, units, True)
         task = asyncio.ensure_future(told)
@@ -342,12 +344,12 @@
         self._look(now_s)
         found = self._organisation_of(organisation)
         cap = found.cap if found is not None else None
-        if cap is None or not caps.is_valid(units):
+        if cap is None or not caps.is_finite(units):
             return None
         if not self._owners.are_here(organisation) or not self._is_settled():
             return None
         if is_settlement:
-            self._ledger.settle(organisation, units)
+            self._ledger.charge(organisation, units)
             return caps.GRANTED
         if units < 0:
             return None
@@ -365,12 +367,12 @@
         """Note who lives, and whether this router has stood still."""
         before_s, self._looked_s = self._looked_s, now_s
         if before_s is not None and now_s - before_s > FROZEN_S:
-            self._ledger.empty(now_s)
+            self._ledger.restart_empty(now_s)
         if not self._owners.refresh():
             return
         self._size.share(self._owners.count, now_s)
-        self._ledger.owned_since(now_s)
-        for name in self._ledger.names():
+        self._ledger.set_owner_since(now_s)
+        for name in self._ledger.organisations():
             if not self._owners.are_here(name):
                 self._ledger.drop(name)
         self._refusals.clear()
--- a/toucanrudder/forwarding/tests/test_capping.py
+++ b/toucanrudder/forwarding/tests/test_capping.py
@@ -154,7 +154,7 @@
     cap = organisation.cap
     assert served_share >= SERVED_SHARE
     # Without a fault, half of what may pass beyond the cap is enough.
-    half = (BOUNDS.limit(cap) + BOUNDS.most(cap)) / 2
+    half = (BOUNDS.window_limit(cap) + BOUNDS.window_allowance(cap)) / 2
     assert caller.most_in_window() <= half
     assert all(error.retry_after_s > 0 for _, _, error in caller.refused)
     # Large requests pass as often as small ones.
@@ -182,4 +182,4 @@
 ):
     # Routers that have forgotten, or cannot ask, admit for themselves.
     caller, _ = played(seed, 65, organisation, times, fault)
-    assert caller.most_in_window() <= BOUNDS.limit(organisation.cap)
+    assert caller.most_in_window() <= BOUNDS.window_limit(organisation.cap)
--- a/toucanrudder/peers/cap_words.py
+++ b/toucanrudder/peers/cap_words.py
@@ -28,7 +28,7 @@
     ValueError
         Its wait is no time.
     """
-    if not caps.is_valid(message.wait_s) or message.wait_s < 0:
+    if not caps.is_finite(message.wait_s) or message.wait_s < 0:
         raise ValueError("the wait is no time")
     outcome = _OUTCOMES_OF.get(message.outcome)
     if outcome is None:
