--- a/toucanrudder/bench/capacity/pure.py
+++ b/toucanrudder/bench/capacity/pure.py
@@ -194,10 +194,10 @@
     from toucanrudder.prefix import identity
 
     text = "x" * (size * identity.BLOCK_BYTES)
-    salt = identity.salt("0123456789abcdef", "organisation")
+    salt = identity.cache_salt("0123456789abcdef", "organisation")
     meter = isolation.Meter()
     for _ in range(REPEATS):
-        identity.keys(salt, "m", "", "w", text)
+        identity.block_keys(salt, "m", "", "w", text)
     return {"keys_s": meter.spent_s() / REPEATS}
 
 
--- a/toucanrudder/bench/running.py
+++ b/toucanrudder/bench/running.py
@@ -149,7 +149,7 @@
         text = output.canonical_text(
             output.CHAT, {"messages": calling.load.messages(prompt)}
         )
-        return identity.keys(
+        return identity.block_keys(
             bytes.fromhex(salt), deployments.MODEL, "", weights, text
         )
 
--- a/toucanrudder/filters/body.py
+++ b/toucanrudder/filters/body.py
@@ -165,8 +165,8 @@
         path=path,
         model=chosen.name,
         stream=bool(body.get("stream")),
-        prompt_tokens=identity.prompt_tokens(text),
-        prefix_keys=identity.keys(
+        prompt_tokens=identity.estimate_prompt_tokens(text),
+        prefix_keys=identity.block_keys(
             exchange.state.salt(organisation.name),
             chosen.name,
             chosen.adapter,
--- a/toucanrudder/prefix/identity.py
+++ b/toucanrudder/prefix/identity.py
@@ -16,7 +16,7 @@
 _SALT_PERSON = b"cache-salt"
 
 
-def salt(fleet_key: str, organisation: str) -> bytes:
+def cache_salt(fleet_key: str, organisation: str) -> bytes:
     """Return the cache salt of an organisation.
 
     Parameters
@@ -33,8 +33,8 @@
 
     Examples
     --------
-    >>> one = salt("0123456789abcdef", "hal-een")
-    >>> one == salt("0123456789abcdef", "hal-twee")
+    >>> one = cache_salt("0123456789abcdef", "hal-een")
+    >>> one == cache_salt("0123456789abcdef", "hal-twee")
     False
     >>> len(one)
     16
@@ -50,7 +50,7 @@
     ).digest()
 
 
-def keys(
+def block_keys(
     organisation_salt: bytes,
     model: str,
     adapter: str,
@@ -76,10 +76,10 @@
 
     Examples
     --------
-    >>> first = keys(b"s" * 16, "m", "", "1", "x" * 16000)
+    >>> first = block_keys(b"s" * 16, "m", "", "1", "x" * 16000)
     >>> len(first)
     2
-    >>> first[:1] == keys(b"s" * 16, "m", "", "1", "x" * 8001)
+    >>> first[:1] == block_keys(b"s" * 16, "m", "", "1", "x" * 8001)
     True
     >>> set(first) & set(keys(b"s" * 16, "m", "", "2", "x" * 16000))
     set()
@@ -125,12 +125,12 @@
     return _content_text(body.get("prompt"))
 
 
-def prompt_tokens(text: str) -> int:
+def estimate_prompt_tokens(text: str) -> int:
     """Estimate the tokens of a canonical text.
 
     Examples
     --------
-    >>> prompt_tokens("x" * 9)
+    >>> estimate_prompt_tokens("x" * 9)
     3
     """
     size_bytes = len(text.encode("utf-8", "surrogatepass"))
--- a/toucanrudder/prefix/tests/test_prefix.py
+++ b/toucanrudder/prefix/tests/test_prefix.py
@@ -11,12 +11,12 @@
 
 
 def chain(organisation="hal", weights="1", text="x" * 16000):
-    salt = identity.salt(FLEET_KEY, organisation)
-    return identity.keys(salt, "llm", "", weights, text)
+    salt = identity.cache_salt(FLEET_KEY, organisation)
+    return identity.block_keys(salt, "llm", "", weights, text)
 
 
 def test_identity_is_as_published():
-    salt = identity.salt(FLEET_KEY, "hal")
+    salt = identity.cache_salt(FLEET_KEY, "hal")
     parent = hashlib.blake2b(b"llm\n\n1", key=salt, digest_size=16).digest()
     expected = []
     for _block in range(2):
@@ -53,7 +53,7 @@
 
 
 def test_text_that_is_no_valid_unicode_has_an_identity():
-    assert identity.keys(b"s" * 16, "m", "", "1", "\ud800" * 8000)
+    assert identity.block_keys(b"s" * 16, "m", "", "1", "\ud800" * 8000)
 
 
 @pytest.mark.parametrize(
--- a/toucanrudder/router/state.py
+++ b/toucanrudder/router/state.py
@@ -322,4 +322,4 @@
 
 @functools.lru_cache(maxsize=4096)
 def _salt(fleet_key: str, organisation: str) -> bytes:
-    return identity.salt(fleet_key, organisation)
+    return identity.cache_salt(fleet_key, organisation)
