--- a/toucanrudder/controllers/kept_cache.py
+++ b/toucanrudder/controllers/kept_cache.py
@@ -96,7 +96,7 @@
         rates = self._heat.rates(keys, now_s)
         return tuple(key for key in keys if rates[key] >= HOT_PER_S)
 
-    def decide(
+    def plan_import(
         self,
         decision: types.Decision,
         query: types.Query,
@@ -131,7 +131,7 @@
             prefill_tokens_per_s=speed_tokens_per_s,
             expected_cached_tokens=decision.expected_hit_tokens,
         )
-        return imports.decide(view, query, kept, self._cost)
+        return imports.plan_import(view, query, kept, self._cost)
 
     async def fetch(
         self, upstream: model.Upstream, order: imports.Import, store: str
@@ -151,7 +151,7 @@
         return await asyncio.shield(task)
 
     async def _fetch(self, upstream, order, store) -> int:
-        timeout_s = PATIENCE * self._cost.seconds(order.tokens)
+        timeout_s = PATIENCE * self._cost.duration_s(order.tokens)
         try:
             answer = await self._order(
                 upstream, "import", order.blocks, store, timeout_s
--- a/toucanrudder/placement/imports.py
+++ b/toucanrudder/placement/imports.py
@@ -23,12 +23,12 @@
     start_s: float = 0.05
     tokens_per_s: float = 100000.0
 
-    def seconds(self, tokens: int) -> float:
+    def duration_s(self, tokens: int) -> float:
         """Return the expected time to import that many tokens.
 
         Examples
         --------
-        >>> ImportCost(start_s=0.1, tokens_per_s=1000.0).seconds(500)
+        >>> ImportCost(start_s=0.1, tokens_per_s=1000.0).duration_s(500)
         0.6
         """
         return self.start_s + tokens / self.tokens_per_s
@@ -57,7 +57,7 @@
     saved_s: float
 
 
-def decide(
+def plan_import(
     upstream: types.UpstreamView,
     query: types.Query,
     kept_keys: Sequence[bytes],
@@ -89,7 +89,7 @@
         blocks.append(key)
     tokens = len(blocks) * identity.BLOCK_TOKENS
     recompute_s = tokens / max(1.0, upstream.prefill_tokens_per_s)
-    saved_s = recompute_s - cost.seconds(tokens)
+    saved_s = recompute_s - cost.duration_s(tokens)
     if not blocks or saved_s <= 0:
         return None
     return Import(
--- a/toucanrudder/placement/tests/test_placement.py
+++ b/toucanrudder/placement/tests/test_placement.py
@@ -253,7 +253,7 @@
     ids=["cold", "partly", "hole", "no-start", "all-held", "none-kept"],
 )
 def test_import_takes_an_unbroken_run(held, kept, blocks):
-    order = imports.decide(
+    order = imports.plan_import(
         engine("a", expected_cached_tokens=held),
         query(),
         kept,
@@ -264,4 +264,4 @@
 
 def test_import_slower_than_recompute_is_left():
     slow = imports.ImportCost(start_s=0.1, tokens_per_s=9000.0)
-    assert imports.decide(engine("a"), query(), KEYS, slow) is None
+    assert imports.plan_import(engine("a"), query(), KEYS, slow) is None
