--- a/toucanrudder/relay/attempt.py
+++ b/toucanrudder/relay/attempt.py
@@ -181,7 +181,7 @@
             self._dropped = (
                 way is _Way.RESUME
                 and failure.kind is failures.Kind.SILENT
-                and failure.message != failures.NOTHING_CAME
+                and failure.message != failures.NO_BYTES_IN_TIME
             )
             return _Way.RESUME
         if way is _Way.RESUME and self._never_arrived(failure):
@@ -236,7 +236,7 @@
             async with asyncio.timeout(self.patience.silence_s(self._flowing)):
                 return await content.readany()
         except TimeoutError as error:
-            raise _PathLost(failures.NOTHING_CAME) from error
+            raise _PathLost(failures.NO_BYTES_IN_TIME) from error
         except (aiohttp.ClientError, OSError) as error:
             raise _PathLost(repr(error)) from error
 
@@ -262,7 +262,7 @@
         # An engine that is computing a long prompt is silent, answers each
         # reconnection, and must not be given up; the deadline of the first
         # token bounds that.  All else is bounded by the count.
-        if self._flowing or reason != failures.NOTHING_CAME:
+        if self._flowing or reason != failures.NO_BYTES_IN_TIME:
             self._fruitless += 1
         if self._fruitless > MAX_FRUITLESS:
             # Behind a balancer a dead engine does not refuse connections:
--- a/toucanrudder/upstreams/failures.py
+++ b/toucanrudder/upstreams/failures.py
@@ -22,7 +22,7 @@
 
 
 #: Message of the failure after silence, as opposed to a broken connection.
-NOTHING_CAME = "nothing came in time"
+NO_BYTES_IN_TIME = "no bytes arrived in time"
 
 #: The engine process is dead, or looks so from here.
 PRESUMES_CRASH = frozenset({Kind.CRASHED, Kind.BROKEN})
--- a/toucanrudder/upstreams/sending.py
+++ b/toucanrudder/upstreams/sending.py
@@ -40,7 +40,7 @@
         ) from error
     except TimeoutError as error:
         raise failures.UpstreamFailure(
-            failures.Kind.SILENT, name, failures.NOTHING_CAME
+            failures.Kind.SILENT, name, failures.NO_BYTES_IN_TIME
         ) from error
     except (aiohttp.ClientError, OSError) as error:
         raise failures.UpstreamFailure(
