--- a/toucanrudder/prefix/identity.py
+++ b/toucanrudder/prefix/identity.py
@@ -81,7 +81,7 @@
     2
     >>> first[:1] == block_keys(b"s" * 16, "m", "", "1", "x" * 8001)
     True
-    >>> set(first) & set(keys(b"s" * 16, "m", "", "2", "x" * 16000))
+    >>> set(first) & set(block_keys(b"s" * 16, "m", "", "2", "x" * 16000))
     set()
     """
     data = text.encode("utf-8", "surrogatepass")
