--- a/toucanrudder/controllers/kept_cache.py
+++ b/toucanrudder/controllers/kept_cache.py
@@ -96,7 +96,7 @@
         rates = self._heat.rates(keys, now_s)
         return tuple(key for key in keys if rates[key] >= HOT_PER_S)
 
-    def plan_import(
+    def decide(
         self,
         decision: types.Decision,
         query: types.Query,
