--- a/toucanrudder/forwarding/cache_feed.py
+++ b/toucanrudder/forwarding/cache_feed.py
@@ -254,7 +254,7 @@
 
 @_is_of.register
 def _(source: model.Upstream, told: CacheUpdate) -> bool:
-    return source.says(told.born_ms)
+    return source.is_same_start(told.born_ms)
 
 
 @functools.lru_cache(maxsize=256)
--- a/toucanrudder/forwarding/capping.py
+++ b/toucanrudder/forwarding/capping.py
@@ -206,7 +206,7 @@
         if cap is None:
             yield
             return
-        cost = cap.cost(prompt.counted_tokens if prompt else None)
+        cost = cap.cost(prompt.total_tokens if prompt else None)
         decision = await self._decided(organisation.name, cap, cost, wait_s)
         if decision.outcome is not caps.Outcome.GRANTED:
             raise self._refused(organisation.name, cost, decision)
--- a/toucanrudder/forwarding/daemon.py
+++ b/toucanrudder/forwarding/daemon.py
@@ -24,7 +24,6 @@
 from toucanrudder.forwarding import cache_feed
 from toucanrudder.forwarding import capping
 from toucanrudder.forwarding import dialect as dialects
-from toucanrudder.forwarding import following
 from toucanrudder.forwarding import forwarder
 from toucanrudder.forwarding import loading
 from toucanrudder.forwarding import orders
@@ -32,6 +31,7 @@
 from toucanrudder.forwarding import retry_window
 from toucanrudder.forwarding import rollout
 from toucanrudder.forwarding import state as states
+from toucanrudder.forwarding import store_watch
 from toucanrudder.http1 import message
 from toucanrudder.http1 import server
 from toucanrudder.leases import decision
@@ -49,17 +49,17 @@
 
 #: Time before the end by force at which what is left is cut by ourselves,
 #: so that the process still ends in order.
-LAST_S = 0.4
+FORCED_CLOSE_S = 0.4
 
 #: Longest wait for peers to hear of an engine that is about to load; one
 #: that does not answer by then will get refusals from the engine.
-TELL_WITHIN_S = 0.1
+TELL_PEERS_TIMEOUT_S = 0.1
 
 #: Pause between two looks at whether all requests have ended.
-LOOK_S = 0.05
+DRAIN_POLL_S = 0.05
 
 #: Pause between two looks at the registry for entries that stay missing.
-TICK_S = 0.2
+MISSING_CHECK_S = 0.2
 
 
 @attrs.frozen
@@ -72,7 +72,7 @@
         Callers' and upstreams' heads.
     store : ConditionalStore and KindFeed
         Where objects are kept.
-    kinds : following.Kinds
+    kinds : store_watch.WatchedKinds
         Which objects are followed, and how they are read.
     encode, decode : callable
         Between a document and its bytes.
@@ -82,7 +82,7 @@
 
     dialect: dialects.Dialect
     store: interface.ConditionalStore
-    kinds: following.Kinds
+    kinds: store_watch.WatchedKinds
     encode: Callable
     decode: Callable
     engine_calls: Callable[..., loading.OrderDialect]
@@ -127,7 +127,7 @@
             silent_s=conf.peers.silent_s,
             rng=self.rng,
         )
-        self.following = following.Following(
+        self.store_watch = store_watch.StoreWatch(
             self.state,
             platform.store,
             platform.kinds,
@@ -143,9 +143,15 @@
         self.forwarder = forwarder.Forwarder(
             self.state, platform.dialect, self.gate
         )
-        self.callers = server.Listener(self._hooks(self.forwarder.handle))
-        self.checks = server.Listener(self._hooks(self._check))
-        self.numbers = server.Listener(self._hooks(self._metrics))
+        self.request_listener = server.Listener(
+            self._hooks(self.forwarder.handle)
+        )
+        self.readiness_listener = server.Listener(
+            self._hooks(self._answer_readiness)
+        )
+        self.metrics_listener = server.Listener(
+            self._hooks(self._answer_metrics)
+        )
 
     def _cap_gate(self) -> capping.CapGate:
         return capping.CapGate(
@@ -154,8 +160,8 @@
                 self.conf.caps.slack,
                 self.conf.caps.overrun,
             ),
-            members=self.following.cap_members,
-            is_settled=self.following.is_settled,
+            members=self.store_watch.cap_members,
+            is_settled=self.store_watch.is_settled,
             ask=functools.partial(
                 self.peering.client.use_cap, deadline_s=capping.OWNER_TIMEOUT_S
             ),
@@ -183,7 +189,7 @@
     async def avoid(self, incarnation: str, for_s: float) -> None:
         """Send no work to an engine for a while, and let peers know."""
         self.gossip.avoid(incarnation, for_s, clock.now_s())
-        await self.peering.client.tell_all(TELL_WITHIN_S)
+        await self.peering.client.tell_all(TELL_PEERS_TIMEOUT_S)
 
     # Listeners.
 
@@ -203,12 +209,12 @@
             return server.Limits()
         return server.Limits(**attrs.asdict(found.limits))
 
-    async def _check(self, request, answer: server.Answer) -> None:
+    async def _answer_readiness(self, request, answer: server.Answer) -> None:
         is_ready = self.state.is_ready
         text = b"ok\n" if is_ready else b"not ready\n"
         await answer.whole(200 if is_ready else 503, (), text)
 
-    async def _metrics(self, request, answer: server.Answer) -> None:
+    async def _answer_metrics(self, request, answer: server.Answer) -> None:
         kind: message.Headers = (
             (b"Content-Type", b"text/plain; version=0.0.4"),
         )
@@ -220,7 +226,7 @@
         return cache_feed.CacheFeedController(
             self.state,
             self.engine_calls,
-            self.following.live_names,
+            self.store_watch.live_router_names,
             self.rng,
         )
 
@@ -242,24 +248,24 @@
             self.state,
             self.engine_calls,
             lease,
-            place_in_line=self.following.place_in_line,
+            place_in_line=self.store_watch.takeover_rank,
             avoid=self.avoid,
         )
-        self.state.doubt_weights = controller.refresh_weights
-        self.state.ask_engine = controller.request_report
+        self.state.report_weights_mismatch = controller.refresh_weights
+        self.state.fetch_engine_report = controller.request_report
         return controller
 
-    async def _tick(self) -> None:
+    async def _expire_missing(self) -> None:
         while True:
-            await asyncio.sleep(TICK_S)
-            self.following.tick(clock.now_s())
+            await asyncio.sleep(MISSING_CHECK_S)
+            self.store_watch.expire_missing(clock.now_s())
 
     def controllers(self) -> list[tasks.TaskService]:
         """Return the tasks that keep the state."""
         lease = self._lease()
         followed = (
-            *self.following.controllers(),
-            self.following.lease_controller(lease),
+            *self.store_watch.controllers(),
+            self.store_watch.lease_controller(lease),
         )
         running = {
             f"follow {controller.kind}": controller.run
@@ -268,7 +274,7 @@
         running["peers"] = self.peering.run
         running["cache events"] = self._cache_feed().run
         running["rollout"] = self._rollout(lease).run
-        running["tick"] = self._tick
+        running["tick"] = self._expire_missing
         running["caps"] = self.gate.run
         return [
             tasks.TaskService(run=run, label=label)
@@ -276,7 +282,7 @@
         ]
 
     @contextlib.asynccontextmanager
-    async def served(self) -> AsyncIterator[None]:
+    async def serving(self) -> AsyncIterator[None]:
         """Run the controllers and listeners."""
         metrics.gauge(
             "toucanrudder_members",
@@ -286,7 +292,7 @@
         metrics.gauge(
             "toucanrudder_upstreams",
             "Upstreams in use; missing: believed though not registered",
-            self.state.registry.numbers,
+            self.state.registry.counts,
         )
         conf = self.conf.listen
         host, port = _host_port(conf.peers)
@@ -298,18 +304,22 @@
             pool_size=POOL_SIZE,
         )
         async with entrypoint:
-            await self.callers.start(*_host_port(conf.callers))
-            await self.checks.start(*_host_port(conf.ready))
+            await self.request_listener.start(*_host_port(conf.callers))
+            await self.readiness_listener.start(*_host_port(conf.ready))
             if conf.metrics:
-                await self.numbers.start(*_host_port(conf.metrics))
+                await self.metrics_listener.start(*_host_port(conf.metrics))
             try:
                 yield
             finally:
-                for each in (self.callers, self.checks, self.numbers):
+                for each in (
+                    self.request_listener,
+                    self.readiness_listener,
+                    self.metrics_listener,
+                ):
                     await each.stop()
                 self.state.pool.close()
 
-    async def drained(self) -> None:
+    async def drain(self) -> None:
         """Serve what still comes until the balancer sends no more.
 
         The router says at once that it is not ready, and closes each
@@ -320,15 +330,15 @@
         self.state.stopping = True
         now_s = self.state.stopping_since_s = clock.now_s()
         shutdown = self.conf.shutdown
-        end_s = now_s + shutdown.grace_s - LAST_S
+        end_s = now_s + shutdown.grace_s - FORCED_CLOSE_S
         self.state.stop_at_s = end_s
         noticed_s = now_s + min(shutdown.notice_s, shutdown.grace_s / 2)
         while clock.now_s() < end_s:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(DRAIN_POLL_S)
             if clock.now_s() < noticed_s:
                 continue
-            self.callers.close_idle()
-            if not self.callers.busy:
+            self.request_listener.close_idle()
+            if not self.request_listener.busy:
                 return
         LOG.warning("requests still open at the end of the grace")
 
@@ -365,7 +375,7 @@
         signal.SIGHUP,
         lambda: decisions.record(decisions.Reloaded(router=router.state.name)),
     )
-    async with router.served():
+    async with router.serving():
         decisions.record(
             decisions.Started(router=router.state.name, zone=router.state.zone)
         )
@@ -377,7 +387,7 @@
                 grace_s=conf.shutdown.grace_s,
             )
         )
-        await router.drained()
+        await router.drain()
     decisions.record(
         decisions.Stopped(
             router=router.state.name, open_requests=router.state.open_requests
--- a/toucanrudder/forwarding/dialect.py
+++ b/toucanrudder/forwarding/dialect.py
@@ -18,7 +18,7 @@
     ----------
     upstream : model.Upstream
         Only this process may run it.
-    left_s : float
+    remaining_s : float
         Time until the caller's deadline.
     salt : str
         What its cache is kept under.
@@ -37,7 +37,7 @@
     """
 
     upstream: model.Upstream
-    left_s: float
+    remaining_s: float
     salt: str = ""
     weights_version: int | None = None
     resume_after: str | None = None
@@ -48,18 +48,18 @@
 
 
 @attrs.frozen
-class Facts:
+class AnswerFacts:
     """What the head of an upstream's answer says.
 
     Parameters
     ----------
-    is_for : bool
+    is_for_request : bool
         Whether it bears the identity of the request that was sent.
-    is_anonymous : bool
+    names_no_request : bool
         Whether it bears no request's identity.
     has_not_run : bool
         Whether the upstream proves that it has not run the request.
-    is_elsewhere : bool
+    is_other_process : bool
         Whether another process answered.
     has_other_weights : bool
         Whether the upstream has not run it for having other weights.
@@ -71,10 +71,10 @@
         Version of the weights that the answer is made on.
     """
 
-    is_for: bool
-    is_anonymous: bool = False
+    is_for_request: bool
+    names_no_request: bool = False
     has_not_run: bool = False
-    is_elsewhere: bool = False
+    is_other_process: bool = False
     has_other_weights: bool = False
     is_sealed: bool = False
     load: model.Load | None = None
@@ -85,7 +85,7 @@
     """How callers and upstreams speak."""
 
     @abc.abstractmethod
-    def call(self, head: message.RequestHead) -> model.Call:
+    def read_call(self, head: message.RequestHead) -> model.Call:
         """Read a caller's request.
 
         Raises
@@ -95,7 +95,7 @@
         """
 
     @abc.abstractmethod
-    def request(
+    def upstream_request(
         self,
         head: message.RequestHead,
         body: bytes,
@@ -105,11 +105,13 @@
         """Return the head of the request for an upstream."""
 
     @abc.abstractmethod
-    def facts(self, call: model.Call, answer: message.AnswerHead) -> Facts:
+    def answer_facts(
+        self, call: model.Call, answer: message.AnswerHead
+    ) -> AnswerFacts:
         """Read the head of an upstream's answer."""
 
     @abc.abstractmethod
-    def error(
+    def error_answer(
         self, error: errors.RudderError, request_id: str
     ) -> tuple[message.Headers, bytes]:
         """Return fields and body of a refusal."""
--- a/toucanrudder/forwarding/course.py
+++ b/toucanrudder/forwarding/execution.py
@@ -13,9 +13,9 @@
 from toucanrudder.forwarding import model
 from toucanrudder.forwarding import placing
 from toucanrudder.forwarding import poison
+from toucanrudder.forwarding import retry_policy
 from toucanrudder.forwarding import routing
 from toucanrudder.forwarding import state as states
-from toucanrudder.forwarding import tries
 from toucanrudder.http1 import client
 from toucanrudder.http1 import message
 from toucanrudder.http1 import server
@@ -28,42 +28,42 @@
 
 #: The same while all engines have weights that are too old: the first one
 #: that is being loaded has new ones after about half a second.
-WEIGHTS_RETRY_S = 0.5
+STALE_WEIGHTS_RETRY_AFTER_S = 0.5
 
 #: Part of a caller's remaining time that a request may wait here: it must
 #: leave him time to come back.
-WAIT_LEFT_SHARE = 0.25
+MAX_WAIT_SHARE = 0.25
 
 #: How long an upstream that was full is left alone.
-FULL_S = 0.05
+FULL_BACKOFF_S = 0.05
 
 
-def observe(kind: str, outcome: str, seconds: float) -> None:
+def record_duration(kind: str, outcome: str, seconds: float) -> None:
     """Count a request that has ended, by its length."""
     metrics.histogram(
         "toucanrudder_request_seconds", "s", "From first byte to the end"
     ).record(seconds, {"kind": kind, "outcome": outcome})
 
 
-def allowed_s(route: model.Route, call: model.Call) -> float:
+def time_limit_s(route: model.Route, call: model.Call) -> float:
     """Return how long a request may take in all."""
     if call.wait_s is None:
         return route.timeout_s
     return min(route.timeout_s, call.wait_s)
 
 
-def waits_here_s(route: model.Route, left_s: float) -> float:
+def max_wait_s(route: model.Route, left_s: float) -> float:
     """Return for how long a request may wait before it is sent."""
-    return min(route.objective_s / 2, WAIT_LEFT_SHARE * left_s)
+    return min(route.objective_s / 2, MAX_WAIT_SHARE * left_s)
 
 
 @attrs.define(eq=False)
-class Course:
+class RequestExecution:
     """One request's way over one or more upstreams.
 
     Attributes
     ----------
-    sent_on : list of client.UpstreamConnection
+    used_connections : list of client.UpstreamConnection
         Connections that have carried the request.  Another answer to it
         may still come on them, so they never carry it again.
     """
@@ -75,20 +75,24 @@
     matched: routing.RouteMatch
     service: str
     deadline_s: float = 0.0
-    progress: tries.Progress = attrs.field(factory=tries.Progress)
-    last_event: str | None = None
-    tried: set[str] = attrs.field(factory=set)
-    sent_on: list[client.UpstreamConnection] = attrs.field(factory=list)
+    progress: retry_policy.Progress = attrs.field(
+        factory=retry_policy.Progress
+    )
+    last_event_id: str | None = None
+    tried_incarnations: set[str] = attrs.field(factory=set)
+    used_connections: list[client.UpstreamConnection] = attrs.field(
+        factory=list
+    )
     attempt_count: int = 0
     upstream: str = ""
     status: int = 0
-    first_s: float = 0.0
+    first_part_s: float = 0.0
     longest_gap_s: float = 0.0
-    first_event_s: float = 0.0
-    last_event_s: float = 0.0
-    copy_at: model.Upstream | None = None
-    continues: bool = False
-    in_doubt: bool = False
+    first_event_at_s: float = 0.0
+    last_event_at_s: float = 0.0
+    copy_upstream: model.Upstream | None = None
+    continues_from_copy: bool = False
+    is_in_flight: bool = False
 
     @property
     def route(self) -> model.Route:
@@ -103,22 +107,22 @@
     async def run(self) -> None:
         """Answer the request, or raise RudderError."""
         now_s = clock.now_s()
-        self.deadline_s = self.request.began_s + allowed_s(
+        self.deadline_s = self.request.began_s + time_limit_s(
             self.route, self.call
         )
-        self.last_event = self.call.resume_after
-        self.state.retries_to(self.service).record_request(now_s)
+        self.last_event_id = self.call.resume_after
+        self.state.retries_for(self.service).record_request(now_s)
         try:
             async with asyncio.timeout(self.deadline_s - now_s):
-                await self._tried()
+                await self._run_attempts()
         except TimeoutError:
-            raise self._late() from None
+            raise self._timeout_error() from None
 
-    def runs(self) -> int:
+    def possible_runs(self) -> int:
         """Return on how many upstreams it may have run."""
-        return self.progress.may_have_run + self.in_doubt
+        return self.progress.possible_runs + self.is_in_flight
 
-    def note_answered(self) -> None:
+    def record_answered(self) -> None:
         """Write down that the caller has got a whole answer."""
         whole_s = clock.now_s() - self.request.began_s
         decisions.record(
@@ -128,7 +132,7 @@
                 upstream=self.upstream,
                 status=self.status,
                 attempts=self.attempt_count,
-                first_s=self.first_s,
+                first_s=self.first_part_s,
                 whole_s=whole_s,
                 events=self.progress.events,
                 longest_gap_s=self.longest_gap_s,
@@ -137,69 +141,73 @@
             )
         )
         kind = self.route.repetition.value
-        observe(kind, "answered" if self.status < 500 else "failed", whole_s)
+        record_duration(
+            kind, "answered" if self.status < 500 else "failed", whole_s
+        )
         metrics.histogram(
             "toucanrudder_first_part_seconds", "s", "Until the answer began"
-        ).record(self.first_s, {"kind": kind})
+        ).record(self.first_part_s, {"kind": kind})
 
-    def note_events(self) -> None:
+    def record_stream_events(self) -> None:
         """Note that events of a stream have been passed on now."""
         now_s = clock.now_s()
-        if not self.last_event_s:
-            self.first_event_s = now_s
+        if not self.last_event_at_s:
+            self.first_event_at_s = now_s
         else:
-            gap_s = now_s - self.last_event_s
+            gap_s = now_s - self.last_event_at_s
             self.longest_gap_s = max(self.longest_gap_s, gap_s)
-        self.last_event_s = now_s
+        self.last_event_at_s = now_s
 
-    def _late(self) -> errors.RudderError:
-        if self.in_doubt or self.progress.may_have_run:
+    def _timeout_error(self) -> errors.RudderError:
+        if self.is_in_flight or self.progress.possible_runs:
             return errors.RudderError(
                 errors.Code.UPSTREAM_TIMEOUT,
                 "no answer within the time that was left",
-                step=tries.STEP,
+                step=retry_policy.STEP,
                 ran=errors.Ran.UNKNOWN,
             )
         return errors.RudderError(
             errors.Code.DEADLINE_UNMET,
             "no upstream took the request in time",
-            step=tries.STEP,
+            step=retry_policy.STEP,
             retry_after_s=RETRY_AFTER_S,
         )
 
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Return the time until the caller's deadline."""
         return self.deadline_s - clock.now_s()
 
-    async def _tried(self) -> None:
-        choice = await self._chosen()
+    async def _run_attempts(self) -> None:
+        choice = await self._choose_with_wait()
         while True:
             upstream = choice.upstream
-            self.tried.add(upstream.incarnation)
+            self.tried_incarnations.add(upstream.incarnation)
             self.attempt_count += 1
             attempt = attempts.Attempt(self, choice)
             try:
                 await attempt.run()
                 return
-            except attempts.TryEnded as failure:
-                step = self._after(failure, upstream, attempt.evidence)
-                if step is tries.Step.GIVE_UP:
+            except attempts.AttemptFailed as failure:
+                step = self._handle_failure(
+                    failure, upstream, attempt.evidence
+                )
+                if step is retry_policy.Step.GIVE_UP:
                     await self._give_up(failure, upstream)
                     return
-            if step is tries.Step.CONTINUE:
-                choice = placing.Choice(self.copy_at, reason="copy")
-                self.continues, self.copy_at = True, None
+            if step is retry_policy.Step.CONTINUE:
+                choice = placing.Choice(self.copy_upstream, reason="copy")
+                self.continues_from_copy, self.copy_upstream = True, None
             else:
-                choice = await self._chosen()
+                choice = await self._choose_with_wait()
 
-    async def _chosen(self) -> placing.Choice:
+    async def _choose_with_wait(self) -> placing.Choice:
         """Choose an upstream; wait a little while all of them are full.
 
         Upstreams refuse for moments only, while they load or when a burst
         fills their queues; sent back at once, callers would return in the
         same moment.
         """
-        give_up_s = clock.now_s() + waits_here_s(self.route, self.left_s())
+        give_up_s = clock.now_s() + max_wait_s(self.route, self.remaining_s())
         while True:
             # Looked at before the choice: one that took long is not the last.
             is_last = clock.now_s() >= give_up_s
@@ -209,7 +217,7 @@
                 is_full = error.code is errors.Code.QUEUE_FULL
                 if not is_full or is_last:
                     raise
-            await asyncio.sleep(FULL_S / 2)
+            await asyncio.sleep(FULL_BACKOFF_S / 2)
 
     def _choose(self) -> placing.Choice:
         now_s = clock.now_s()
@@ -222,31 +230,35 @@
         usable = [
             each
             for each in usable
-            if each.upstream.incarnation not in self.tried
+            if each.upstream.incarnation not in self.tried_incarnations
         ] or usable
         if not usable:
-            raise self._nobody(candidates)
+            raise self._no_upstream_error(candidates)
         if self.call.prompt is not None:
-            store = self.state.store_for(self.call.prompt, self.wall(), now_s)
+            store = self.state.store_for(
+                self.call.prompt, self.cache_scope(), now_s
+            )
             choice = placing.choose_for_prompt(
                 self.call.prompt,
-                self.wall(),
+                self.cache_scope(),
                 usable,
                 self.state.cache,
                 store=store,
-                speed=self.state.speed_of(self.service, store),
+                speed=self.state.speeds_for(self.service, store),
                 engines_report_cache=cache_feed.polls_engines(
                     self.state.live_routers()
                 ),
                 now_s=now_s,
             )
-            self.copy_at = self._place_for_copy(choice, candidates, now_s)
+            self.copy_upstream = self._choose_copy_upstream(
+                choice, candidates, now_s
+            )
             return choice
         return placing.choose_for_plain(
             self.state.zone, usable, now_s=now_s, rng=self.state.rng
         )
 
-    def _place_for_copy(
+    def _choose_copy_upstream(
         self, choice, candidates, now_s: float
     ) -> model.Upstream | None:
         service = self.state.configuration.services.get(self.service)
@@ -261,10 +273,13 @@
             choice, self.call.prompt, engine, candidates, now_s
         )
 
-    def _nobody(self, candidates) -> errors.RudderError:
-        if self.progress.may_have_run:
-            return tries.refusal(
-                tries.Ended.BROKEN, self.progress, self.service, 0.0
+    def _no_upstream_error(self, candidates) -> errors.RudderError:
+        if self.progress.possible_runs:
+            return retry_policy.final_error(
+                retry_policy.FailureKind.BROKEN,
+                self.progress,
+                self.service,
+                0.0,
             )
         code, retry_after_s = errors.Code.QUEUE_FULL, RETRY_AFTER_S
         now_s, bound_s = clock.now_s(), self.state.pace.bound_s
@@ -275,77 +290,79 @@
             for each in candidates
         ):
             code = errors.Code.WEIGHTS_TOO_OLD
-            retry_after_s = WEIGHTS_RETRY_S
+            retry_after_s = STALE_WEIGHTS_RETRY_AFTER_S
         return errors.RudderError(
             code,
             "no upstream can take the request now",
-            step=tries.STEP,
+            step=retry_policy.STEP,
             peer=self.service,
             retry_after_s=retry_after_s,
         )
 
-    def wall(self) -> str:
+    def cache_scope(self) -> str:
         """Return who shares its cache; the empty string for all."""
         organisation = self.matched.organisation
         if organisation is not None and organisation.is_isolated:
             return organisation.name
         return ""
 
-    def _after(
+    def _handle_failure(
         self,
-        failure: attempts.TryEnded,
+        failure: attempts.AttemptFailed,
         upstream: model.Upstream,
-        evidence: tries.Evidence,
-    ) -> tries.Step:
+        evidence: retry_policy.Evidence,
+    ) -> retry_policy.Step:
         """Note how a try ended; say what is to follow."""
-        ended = failure.ended
-        self._blame(ended, upstream)
-        self.in_doubt = False
-        ran = ended not in tries.PROVES_NOT_RUN
+        ended = failure.kind
+        self._update_upstream_state(ended, upstream)
+        self.is_in_flight = False
+        ran = ended not in retry_policy.PROVES_NOT_RUN
         self.progress = attrs.evolve(
-            self._progress_now(),
-            tries=self.progress.tries + 1,
-            may_have_run=self.progress.may_have_run + ran,
+            self._current_progress(),
+            attempts=self.progress.attempts + 1,
+            possible_runs=self.progress.possible_runs + ran,
         )
-        self.continues = False
-        step = tries.next_step(
-            ended, self.progress, self.route, left_s=self.left_s()
+        self.continues_from_copy = False
+        step = retry_policy.next_step(
+            ended, self.progress, self.route, remaining_s=self.remaining_s()
         )
         if self.is_poison():
-            step = tries.Step.GIVE_UP
-        step = self._within_budget(ended, step)
+            step = retry_policy.Step.GIVE_UP
+        step = self._apply_retry_budget(ended, step)
         decisions.record(
             decisions.TryEnded(
                 request_id=self.call.request_id,
                 upstream=upstream.incarnation,
-                attempt=self.progress.tries,
+                attempt=self.progress.attempts,
                 ended=ended.value,
                 after_s=clock.now_s() - self.request.began_s,
-                may_have_run=bool(self.progress.may_have_run),
+                may_have_run=bool(self.progress.possible_runs),
                 events=self.progress.events,
                 next_step=step.value,
-                budget_left=self.state.retries_to(self.service).remaining(
+                budget_left=self.state.retries_for(self.service).remaining(
                     clock.now_s(), self.state.live_routers()
                 ),
                 carried_requests=evidence.carried_requests,
                 identity=evidence.identity.value,
                 silence=evidence.silence.value,
-                copy_at=self.copy_at.incarnation if self.copy_at else "",
+                copy_at=self.copy_upstream.incarnation
+                if self.copy_upstream
+                else "",
             )
         )
         return step
 
-    def _within_budget(
-        self, ended: tries.Ended, step: tries.Step
-    ) -> tries.Step:
+    def _apply_retry_budget(
+        self, ended: retry_policy.FailureKind, step: retry_policy.Step
+    ) -> retry_policy.Step:
         # Where nothing arrived, nothing arrives twice.
-        arrived = ended is not tries.Ended.NOT_REACHED
-        if step is tries.Step.GIVE_UP or not arrived:
+        arrived = ended is not retry_policy.FailureKind.NOT_REACHED
+        if step is retry_policy.Step.GIVE_UP or not arrived:
             return step
-        window = self.state.retries_to(self.service)
+        window = self.state.retries_for(self.service)
         if not window.spend(clock.now_s(), self.state.live_routers()):
-            metrics.refused("retry_budget_spent", tries.STEP)
-            return tries.Step.GIVE_UP
+            metrics.refused("retry_budget_spent", retry_policy.STEP)
+            return retry_policy.Step.GIVE_UP
         metrics.retried(ended.value)
         return step
 
@@ -353,58 +370,60 @@
         """Return the time since the caller got the first event."""
         if not self.progress.events:
             return 0.0
-        return clock.now_s() - self.first_event_s
+        return clock.now_s() - self.first_event_at_s
 
-    def can_continue(self) -> bool:
+    def can_continue_from_copy(self) -> bool:
         """Whether another engine can go on with the run now."""
-        return self._progress_now().can_continue
+        return self._current_progress().can_continue_from_copy
 
-    def _progress_now(self) -> tries.Progress:
+    def _current_progress(self) -> retry_policy.Progress:
         return attrs.evolve(
             self.progress,
             streamed_s=self._streamed_s(),
-            copy_was_asked=self.copy_may_exist(),
+            is_copy_requested=self.copy_may_exist(),
         )
 
     def copy_may_exist(self) -> bool:
         """Whether the engine that was to hold a copy can still have it."""
-        if self.copy_at is None:
+        if self.copy_upstream is None:
             return False
-        weights = self.copy_at.weights
-        known = self.state.registry.get(self.copy_at.incarnation)
+        weights = self.copy_upstream.weights
+        known = self.state.registry.get(self.copy_upstream.incarnation)
         if known is None or known.is_leaving or known.weights != weights:
             return False
         # Under new weights a run goes on with memory made under both.
         runs_at = self.state.registry.get(self.upstream)
         return runs_at is None or runs_at.weights == weights
 
-    def _blame(self, ended: tries.Ended, upstream: model.Upstream) -> None:
+    def _update_upstream_state(
+        self, ended: retry_policy.FailureKind, upstream: model.Upstream
+    ) -> None:
         now_s = clock.now_s()
         name = upstream.incarnation
-        if ended is tries.Ended.FULL:
-            self.state.states.record_full(name, now_s, FULL_S)
-        elif ended is tries.Ended.FAILED:
-            self.state.states.record_error(name)
-        elif ended is tries.Ended.OTHER_WEIGHTS:
-            self.state.doubt_weights(upstream)
+        if ended is retry_policy.FailureKind.FULL:
+            self.state.upstream_stats.record_full(name, now_s, FULL_BACKOFF_S)
+        elif ended is retry_policy.FailureKind.FAILED:
+            self.state.upstream_stats.record_error(name)
+        elif ended is retry_policy.FailureKind.OTHER_WEIGHTS:
+            self.state.report_weights_mismatch(upstream)
         else:
-            self.state.states.record_failure(name, now_s)
-        if ended is tries.Ended.BROKEN:
-            self.state.breaks.record_crash(
+            self.state.upstream_stats.record_failure(name, now_s)
+        if ended is retry_policy.FailureKind.BROKEN:
+            self.state.crash_counts.record_crash(
                 self._fingerprint(),
                 upstream,
                 time.time(),
             )
 
     async def _give_up(
-        self, failure: attempts.TryEnded, upstream: model.Upstream
+        self, failure: attempts.AttemptFailed, upstream: model.Upstream
     ) -> None:
-        if failure.held is not None and not self.answer.started:
-            head, body = failure.held
-            await self.pass_on(head, body)
+        if failure.answer is not None and not self.answer.started:
+            head, body = failure.answer
+            await self.send_answer(head, body)
             return
-        raise tries.refusal(
-            failure.ended,
+        raise retry_policy.final_error(
+            failure.kind,
             self.progress,
             upstream.incarnation,
             RETRY_AFTER_S,
@@ -420,24 +439,24 @@
 
     def is_poison(self) -> bool:
         """Whether upstreams have broken off under it too often."""
-        breaks = self.state.breaks
+        breaks = self.state.crash_counts
         # Hashing a body for each request would be paid for by all others.
         return not breaks.is_empty and breaks.is_poison(self._fingerprint())
 
     # The answer.
 
-    def _note_first(self, status: int) -> None:
+    def _record_first_part(self, status: int) -> None:
         self.status = status
-        self.first_s = clock.now_s() - self.request.began_s
+        self.first_part_s = clock.now_s() - self.request.began_s
 
-    async def pass_on(self, head: message.AnswerHead, body: bytes) -> None:
+    async def send_answer(self, head: message.AnswerHead, body: bytes) -> None:
         """Give the caller an upstream's whole answer."""
-        self._note_first(head.status)
+        self._record_first_part(head.status)
         headers = message.end_to_end(head.headers, (b"content-length",))
         await self.answer.whole(head.status, headers, body)
 
-    async def start(self, head: message.AnswerHead) -> None:
+    async def start_stream(self, head: message.AnswerHead) -> None:
         """Give the caller the head of an upstream's stream."""
-        self._note_first(head.status)
+        self._record_first_part(head.status)
         headers = message.end_to_end(head.headers, (b"content-length",))
         await self.answer.start(head.status, headers)
--- a/toucanrudder/forwarding/forwarder.py
+++ b/toucanrudder/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""Answers callers: one course for each request, whatever happens."""
+"""Answers callers: one execution for each request, whatever happens."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,12 +8,12 @@
 from toucanrudder import clock
 from toucanrudder import errors
 from toucanrudder.forwarding import capping
-from toucanrudder.forwarding import course as courses
 from toucanrudder.forwarding import dialect as dialects
+from toucanrudder.forwarding import execution as executions
 from toucanrudder.forwarding import model
+from toucanrudder.forwarding import retry_policy
 from toucanrudder.forwarding import routing
 from toucanrudder.forwarding import state as states
-from toucanrudder.forwarding import tries
 from toucanrudder.http1 import server
 from toucanrudder.observability import decisions
 from toucanrudder.observability import metrics
@@ -21,15 +21,15 @@
 #: Objectives that must be left until the end of a planned stop for a
 #: request to be taken: while engines are overloaded, one in a hundred
 #: takes five of them.
-STOPPING_OBJECTIVES = 6.0
+DRAIN_OBJECTIVES = 6.0
 
 #: Seconds from the beginning of a planned stop in which streams are taken
 #: that may last longer than what is left of it.  The balancer needs as
 #: long to notice; what comes later comes on connections kept open.
-STOPPING_STREAMS_S = 3.0
+DRAIN_LONG_STREAMS_S = 3.0
 
 
-def fits_stop(
+def finishes_before_stop(
     route: model.Route,
     wait_s: float | None,
     *,
@@ -57,13 +57,13 @@
     --------
     >>> stream = model.Route("r", "h", "/", (), is_stream=True,
     ...     timeout_s=12.0, objective_s=0.4)
-    >>> fits_stop(stream, None, stopping_for_s=1.0, left_s=6.6)
+    >>> finishes_before_stop(stream, None, stopping_for_s=1.0, left_s=6.6)
     True
-    >>> fits_stop(stream, None, stopping_for_s=4.7, left_s=2.9)
+    >>> finishes_before_stop(stream, None, stopping_for_s=4.7, left_s=2.9)
     False
     """
-    needs_s = STOPPING_OBJECTIVES * route.objective_s
-    if route.is_stream and stopping_for_s > STOPPING_STREAMS_S:
+    needs_s = DRAIN_OBJECTIVES * route.objective_s
+    if route.is_stream and stopping_for_s > DRAIN_LONG_STREAMS_S:
         longest_s = route.timeout_s
         if wait_s is not None:
             longest_s = min(longest_s, wait_s)
@@ -98,36 +98,38 @@
         self, request: server.Request, answer: server.Answer
     ) -> None:
         """Answer one request, whatever happens."""
-        seen = _Seen()
+        summary = _RequestSummary()
         self.state.open_requests += 1
         try:
-            await self._handle(request, answer, seen)
+            await self._handle(request, answer, summary)
         except errors.RudderError as error:
             after_s = clock.now_s() - request.began_s
-            await self._refuse(answer, error, seen, after_s)
+            await self._refuse(answer, error, summary, after_s)
         except (asyncio.CancelledError, server.CallerGone):
             after_s = clock.now_s() - request.began_s
             decisions.record(
                 decisions.CallerLeft(
-                    request_id=seen.request_id,
-                    route=seen.route,
+                    request_id=summary.request_id,
+                    route=summary.route,
                     after_s=after_s,
-                    attempts=seen.tries(),
+                    attempts=summary.attempt_count(),
                 )
             )
-            courses.observe(seen.kind, "left", after_s)
+            executions.record_duration(summary.kind, "left", after_s)
             raise
         finally:
             self.state.open_requests -= 1
 
-    async def _handle(self, request, answer, seen: "_Seen") -> None:
-        call = self.dialect.call(request.head)
-        seen.request_id = call.request_id
+    async def _handle(
+        self, request, answer, summary: "_RequestSummary"
+    ) -> None:
+        call = self.dialect.read_call(request.head)
+        summary.request_id = call.request_id
         matched = self.state.table().match(call)
         route = matched.route
-        seen.route, seen.kind = route.name, route.repetition.value
-        self._check_stopping(route, call)
-        course = courses.Course(
+        summary.route, summary.kind = route.name, route.repetition.value
+        self._refuse_if_cut_by_stop(route, call)
+        execution = executions.RequestExecution(
             self.state,
             self.dialect,
             request,
@@ -135,19 +137,23 @@
             matched,
             routing.pick_service(route, self.state.rng),
         )
-        _check_poison(course)
-        seen.tries = lambda: course.attempt_count
+        _check_poison(execution)
+        summary.attempt_count = lambda: execution.attempt_count
         admitted = self.gate.admitted(
             matched.organisation,
             call.prompt,
-            course.runs,
-            wait_s=courses.waits_here_s(route, courses.allowed_s(route, call)),
+            execution.possible_runs,
+            wait_s=executions.max_wait_s(
+                route, executions.time_limit_s(route, call)
+            ),
         )
         async with admitted:
-            await course.run()
-        course.note_answered()
+            await execution.run()
+        execution.record_answered()
 
-    def _check_stopping(self, route: model.Route, call: model.Call) -> None:
+    def _refuse_if_cut_by_stop(
+        self, route: model.Route, call: model.Call
+    ) -> None:
         """Refuse what would be cut at the end of a planned stop.
 
         A caller who keeps using his connection gets his answer as long as
@@ -157,7 +163,7 @@
         if not self.state.stopping:
             return
         now_s = clock.now_s()
-        if not fits_stop(
+        if not finishes_before_stop(
             route,
             call.wait_s,
             stopping_for_s=now_s - self.state.stopping_since_s,
@@ -166,7 +172,7 @@
             raise errors.RudderError(
                 errors.Code.STOPPING,
                 "this router is stopping",
-                step=tries.STEP,
+                step=retry_policy.STEP,
                 retry_after_s=0.0,
             )
 
@@ -174,15 +180,15 @@
         self,
         answer: server.Answer,
         error: errors.RudderError,
-        seen: "_Seen",
+        summary: "_RequestSummary",
         after_s: float,
     ) -> None:
         metrics.refused(error.code.value, error.step)
-        courses.observe(seen.kind, "refused", after_s)
+        executions.record_duration(summary.kind, "refused", after_s)
         decisions.record(
             decisions.Refused(
-                request_id=seen.request_id,
-                route=seen.route,
+                request_id=summary.request_id,
+                route=summary.route,
                 code=error.code.value,
                 status=0 if answer.started else error.status,
                 ran=error.ran.value,
@@ -195,12 +201,12 @@
         if answer.started:
             answer.abort()
             return
-        headers, body = self.dialect.error(error, seen.request_id)
+        headers, body = self.dialect.error_answer(error, summary.request_id)
         await answer.whole(error.status, headers, body)
 
 
-def _check_poison(course: courses.Course) -> None:
-    if course.is_poison():
+def _check_poison(execution: executions.RequestExecution) -> None:
+    if execution.is_poison():
         # It has not run this time, but must not be sent again: "not run,
         # come back" would bring it back for ever.
         raise errors.RudderError(
@@ -212,10 +218,10 @@
 
 
 @attrs.define
-class _Seen:
+class _RequestSummary:
     """What is known of a request, for the log."""
 
     request_id: str = ""
     route: str = ""
     kind: str = "unknown"
-    tries: Callable[[], int] = lambda: 0
+    attempt_count: Callable[[], int] = lambda: 0
--- a/toucanrudder/forwarding/loading.py
+++ b/toucanrudder/forwarding/loading.py
@@ -100,7 +100,7 @@
     ) -> rollout.EngineReport | None:
         """Return an engine's report; None if it gives none."""
         report = await self._dialect.report(upstream, timeout_s=CALL_S)
-        if report is None or not upstream.says(report.born_ms):
+        if report is None or not upstream.is_same_start(report.born_ms):
             return None
         self._heard()
         return report
@@ -229,7 +229,7 @@
             if report is None:
                 continue
             has = report.weights.get(task.model, 0)
-            self._state.registry.has_weights(name, task.model, has)
+            self._state.registry.update_weights(name, task.model, has)
             if has >= task.version or not report.is_busy:
                 break
         decisions.record(
--- a/toucanrudder/forwarding/model.py
+++ b/toucanrudder/forwarding/model.py
@@ -8,10 +8,10 @@
 from toucanrudder.admission import caps
 
 #: No prompt, nor answer, is larger.
-MOST_TOKENS = 10**9
+MAX_TOKENS = 10**9
 
 _NOT_NEGATIVE = attrs.validators.ge(0)
-_SIZE = attrs.validators.and_(_NOT_NEGATIVE, attrs.validators.le(MOST_TOKENS))
+_SIZE = attrs.validators.and_(_NOT_NEGATIVE, attrs.validators.le(MAX_TOKENS))
 
 
 class Repetition(enum.Enum):
@@ -255,7 +255,7 @@
         ),
     )
 
-    def says(self, born_ms: int) -> bool:
+    def is_same_start(self, born_ms: int) -> bool:
         """Whether words that name their start come from this one.
 
         Those of an earlier one arrive late, those of a later one before
@@ -264,7 +264,7 @@
         Examples
         --------
         >>> this = Upstream("i@7", "s", "10.0.0.1:1", name="i", born_ms=7)
-        >>> this.says(7), this.says(8), this.says(0)
+        >>> this.is_same_start(7), this.is_same_start(8), this.is_same_start(0)
         (True, False, True)
         """
         return not (born_ms and self.born_ms) or born_ms == self.born_ms
@@ -290,7 +290,7 @@
         In order; the last is the request's or its session's own.
     prompt_tokens, max_output_tokens : int
         Sizes.
-    is_counted : bool
+    has_token_counts : bool
         Whether the caller told the sizes.
     """
 
@@ -298,17 +298,17 @@
     parts: tuple[Part, ...] = ()
     prompt_tokens: int = attrs.field(default=0, validator=_SIZE)
     max_output_tokens: int = attrs.field(default=0, validator=_SIZE)
-    is_counted: bool = True
+    has_token_counts: bool = True
 
     @property
-    def counted_tokens(self) -> int | None:
+    def total_tokens(self) -> int | None:
         """Tokens in and out; None if the caller did not tell them."""
-        if not self.is_counted:
+        if not self.has_token_counts:
             return None
         return self.prompt_tokens + self.max_output_tokens
 
     @property
-    def shared(self) -> tuple[Part, ...]:
+    def shared_parts(self) -> tuple[Part, ...]:
         """The parts that other requests may have as well."""
         return self.parts[:-1]
 
--- a/toucanrudder/forwarding/orders.py
+++ b/toucanrudder/forwarding/orders.py
@@ -109,7 +109,7 @@
         if configuration is None:
             return {}
         return {
-            name: self._state.registry.of(name)
+            name: self._state.registry.for_service(name)
             for name, service in configuration.services.items()
             if service.engine is not None
         }
@@ -309,7 +309,7 @@
             each
             for each in engines
             if now_s
-            - self._state.states.of(each.incarnation).last_peer_order_s
+            - self._state.upstream_stats.of(each.incarnation).last_peer_order_s
             >= quiet_s
         ]
 
@@ -321,7 +321,7 @@
             self._turn.has_heard = True
 
     def _busy(self, upstream: model.Upstream, now_s: float) -> float:
-        known = self._state.states.of(upstream.incarnation)
+        known = self._state.upstream_stats.of(upstream.incarnation)
         return known.requests + known.other_requests(now_s)
 
     def _forget_done(self, engines, newest) -> None:
@@ -343,7 +343,7 @@
         try:
             report = await self._loader.request_report(upstream)
             for name, version in (report.weights if report else {}).items():
-                self._state.registry.has_weights(
+                self._state.registry.update_weights(
                     upstream.incarnation, name, version
                 )
         finally:
@@ -377,7 +377,9 @@
         if not given.has_place:
             engines = [
                 each
-                for each in self._state.registry.of(task.upstream.service)
+                for each in self._state.registry.for_service(
+                    task.upstream.service
+                )
                 if not each.is_leaving
             ]
             age_s = self._age_s(task)
@@ -432,7 +434,7 @@
             await asyncio.sleep(loading.ASK_S)
             return None
         has = report.weights.get(task.model, 0)
-        self._state.registry.has_weights(
+        self._state.registry.update_weights(
             task.upstream.incarnation, task.model, has
         )
         return report if has < task.version else None
--- a/toucanrudder/forwarding/peering.py
+++ b/toucanrudder/forwarding/peering.py
@@ -16,7 +16,7 @@
 
 #: Seconds for which the word that an upstream leaves is passed on: by
 #: then each router has read it in the registry itself.
-LEAVING_TOLD_S = 10.0
+LEAVING_GOSSIP_S = 10.0
 
 
 @attrs.define(eq=False)
@@ -32,11 +32,11 @@
     state: states.ForwardingState
     _leaving_since_s: dict[str, float] = attrs.field(factory=dict)
     _avoided_until_s: dict[str, float] = attrs.field(factory=dict)
-    _told_by: dict[str, set[str]] = attrs.field(factory=dict)
+    _avoided_by_peer: dict[str, set[str]] = attrs.field(factory=dict)
 
-    def left(self, incarnation: str, now_s: float) -> bool:
+    def record_leaving(self, incarnation: str, now_s: float) -> bool:
         """Note that an upstream has said that it leaves."""
-        if not self.state.registry.leaving(incarnation):
+        if not self.state.registry.mark_leaving(incarnation):
             return False
         self._leaving_since_s[incarnation] = now_s
         return True
@@ -46,14 +46,14 @@
         self._leaving_since_s = {
             name: since_s
             for name, since_s in self._leaving_since_s.items()
-            if now_s - since_s < LEAVING_TOLD_S
+            if now_s - since_s < LEAVING_GOSSIP_S
         }
         return tuple(self._leaving_since_s)
 
     def avoid(self, incarnation: str, for_s: float, now_s: float) -> None:
         """Send no work to an upstream for a while; 0 takes it back."""
         self._avoided_until_s[incarnation] = now_s + for_s
-        self.state.states.avoid(incarnation, now_s + for_s)
+        self.state.upstream_stats.avoid(incarnation, now_s + for_s)
 
     def avoided(self, now_s: float) -> tuple[messages.Avoided, ...]:
         """Return what peers are told to take no work.
@@ -72,13 +72,13 @@
             for name, until_s in self._avoided_until_s.items()
         ) + tuple(messages.Avoided(*each) for each in stores.items())
 
-    def heard(self, heartbeat: messages.Heartbeat, now_s: float) -> None:
+    def merge(self, heartbeat: messages.Heartbeat, now_s: float) -> None:
         """Take in a peer's beliefs."""
         for each in heartbeat.weights:
-            self.state.weights_named(each.model, each.version, now_s)
+            self.state.record_weights_version(each.model, each.version, now_s)
         for name in heartbeat.leaving_upstreams:
-            self.left(name, now_s)
-        self._heard_of_stores(heartbeat, now_s)
+            self.record_leaving(name, now_s)
+        self._merge_store_outages(heartbeat, now_s)
         known = self.state.registry.incarnations
         told = {
             each.upstream: each.for_s
@@ -86,16 +86,20 @@
             if each.upstream in known
         }
         if heartbeat.registry is not None:
-            self.state.registry.was_served(_span(heartbeat.registry, now_s))
+            self.state.registry.add_served_span(
+                _served_span(heartbeat.registry, now_s)
+            )
         sender = heartbeat.sender.name
-        for name in self._told_by.pop(sender, set()) - set(told):
-            self.state.states.avoid(name, now_s)
+        for name in self._avoided_by_peer.pop(sender, set()) - set(told):
+            self.state.upstream_stats.avoid(name, now_s)
         for name, for_s in told.items():
-            self.state.states.record_peer_order(name, now_s + for_s, now_s)
+            self.state.upstream_stats.record_peer_order(
+                name, now_s + for_s, now_s
+            )
         if told:
-            self._told_by[sender] = set(told)
+            self._avoided_by_peer[sender] = set(told)
 
-    def _heard_of_stores(
+    def _merge_store_outages(
         self, heartbeat: messages.Heartbeat, now_s: float
     ) -> None:
         addresses = {each.address for each in self.state.cache_stores()}
@@ -125,11 +129,11 @@
         """Return this router's own work at upstreams."""
         return tuple(
             messages.UpstreamLoad(name, tokens, requests)
-            for name, tokens, requests in self.state.states.in_use()
+            for name, tokens, requests in self.state.upstream_stats.in_use()
         )
 
 
-def _span(told: messages.Served, now_s: float) -> continuity.Span:
+def _served_span(told: messages.Served, now_s: float) -> continuity.Span:
     until_s = now_s - told.age_s
     return continuity.Span(until_s - told.for_s, until_s)
 
@@ -169,15 +173,15 @@
     sources = nodes.Sources(
         loads=gossip.loads,
         weights=gossip.weights,
-        quarantine=state.breaks.suspicions.entries,
-        merge=state.breaks.merge,
+        quarantine=state.crash_counts.suspicions.entries,
+        merge=state.crash_counts.merge,
         leaving=lambda: state.stopping,
         # Peers count by a clock that stands still with the host; beliefs
         # on upstreams age on.
         leaving_upstreams=lambda _: gossip.leaving(clock.now_s()),
         avoided=lambda _: gossip.avoided(clock.now_s()),
         registry=lambda _: gossip.registry(clock.now_s()),
-        upstream_news=lambda heartbeat, _: gossip.heard(
+        upstream_news=lambda heartbeat, _: gossip.merge(
             heartbeat, clock.now_s()
         ),
     )
--- a/toucanrudder/forwarding/placing.py
+++ b/toucanrudder/forwarding/placing.py
@@ -313,7 +313,7 @@
     copying = held if engines_report_cache else _storeless(held, prompt, store)
     _copy_from_engines(copying, held, speed, now_s)
     _copy_from_store(held, prompt, wall, store, index, speed)
-    shared_tokens = sum(part.tokens for part in prompt.shared)
+    shared_tokens = sum(part.tokens for part in prompt.shared_parts)
 
     def cost(each: _Held) -> tuple[float, int]:
         tokens = each.missing_tokens(prompt) + (
@@ -396,7 +396,7 @@
 
 def _ranks(prompt, wall, candidates) -> dict[str, int]:
     names = [each.upstream.incarnation for each in candidates]
-    if prompt.shared:
+    if prompt.shared_parts:
         names = rendezvous.ranked(stores.rendezvous_key(prompt, wall), names)
     return {name: rank for rank, name in enumerate(names)}
 
@@ -454,7 +454,7 @@
     dropped them since, and the prompt is read again, though the store has
     it: only one source can be named.
     """
-    if not prompt.shared:
+    if not prompt.shared_parts:
         return held
     return [each for each in held if not _may_use(store, each.candidate)]
 
--- a/toucanrudder/forwarding/registry.py
+++ b/toucanrudder/forwarding/registry.py
@@ -12,7 +12,7 @@
 
 #: Seconds after the registry's return within which an upstream that lives
 #: is listed again.  Upstreams register anew within about two seconds.
-RELIST_S = 2.4
+RELIST_GRACE_S = 2.4
 
 
 class Absence(enum.Enum):
@@ -25,14 +25,14 @@
 
 
 @attrs.define
-class _Known:
+class _Entry:
     upstream: model.Upstream
     missing_since_s: float | None = None
 
 
 #: Names whose newest start is remembered after they are gone: a late word
 #: of an earlier start must not bring it back.
-MAX_BIRTHS = 8192
+MAX_START_TIMES = 8192
 
 
 class Registry:
@@ -56,32 +56,34 @@
     """
 
     def __init__(self):
-        self._known: dict[str, _Known] = {}
+        self._known: dict[str, _Entry] = {}
         self._by_name: dict[str, str] = {}
-        self._births_ms: cachetools.LRUCache = cachetools.LRUCache(MAX_BIRTHS)
+        self._newest_start_ms: cachetools.LRUCache = cachetools.LRUCache(
+            MAX_START_TIMES
+        )
         self._by_service: dict[str, tuple[model.Upstream, ...]] | None = None
-        self._returned_s = float("-inf")
+        self._recovered_s = float("-inf")
         self.served: continuity.Span | None = None
-        self._confirmed_s = self._due_s = float("-inf")
-        self.is_filled = False
+        self._synced_s = self._due_s = float("-inf")
+        self.has_listing = False
 
-    def returned(self, now_s: float) -> None:
+    def mark_recovered(self, now_s: float) -> None:
         """Note that the registry answers this router again."""
-        self._returned_s = now_s
+        self._recovered_s = now_s
 
-    def was_served(self, span: continuity.Span) -> None:
+    def add_served_span(self, span: continuity.Span) -> None:
         """Note a time in which the registry served some router."""
         self.served = span.merged(self.served)
 
     @property
-    def _lenient_until_s(self) -> float:
+    def _grace_until_s(self) -> float:
         """Time until which missing entries are believed."""
-        since_s, span = self._returned_s, self.served
+        since_s, span = self._recovered_s, self.served
         if span and span.until_s >= since_s - continuity.LONGEST_GAP_S:
             since_s = min(since_s, span.since_s)
-        return since_s + RELIST_S
+        return since_s + RELIST_GRACE_S
 
-    def confirmed(self, now_s: float, due_s: float) -> None:
+    def mark_synced(self, now_s: float, due_s: float) -> None:
         """Note that what is known is what the registry has.
 
         Parameters
@@ -91,11 +93,11 @@
         due_s : float
             Time by which the registry is to be heard of again.
         """
-        self._confirmed_s, self._due_s = now_s, due_s
+        self._synced_s, self._due_s = now_s, due_s
 
     def age_s(self, now_s: float) -> float:
         """Return for how long the registry may have told of no change."""
-        return now_s - self._confirmed_s
+        return now_s - self._synced_s
 
     def overdue_s(self, now_s: float) -> float:
         """Return the time by which the registry's next word is late."""
@@ -120,7 +122,7 @@
         ]
         for upstream in listed.values():
             self.put(upstream)
-        self.is_filled = True
+        self.has_listing = True
         self._by_service = None
         return absent
 
@@ -130,20 +132,20 @@
         What an upstream itself has said meanwhile is newer than its entry:
         a process's weights only rise, and one that leaves does not stay.
         """
-        if self.is_past(upstream):
+        if self.is_superseded(upstream):
             return
         known = self._known.get(upstream.incarnation)
         if known is not None:
             upstream = _merged(known.upstream, upstream)
         earlier = self._by_name.get(upstream.name)
         if earlier is not None and earlier != upstream.incarnation:
-            self._forget(earlier)
-        self._known[upstream.incarnation] = _Known(upstream)
+            self._drop(earlier)
+        self._known[upstream.incarnation] = _Entry(upstream)
         self._by_name[upstream.name] = upstream.incarnation
-        self._births_ms[upstream.name] = upstream.born_ms
+        self._newest_start_ms[upstream.name] = upstream.born_ms
         self._by_service = None
 
-    def is_past(self, upstream: model.Upstream) -> bool:
+    def is_superseded(self, upstream: model.Upstream) -> bool:
         """Whether a later start under the same name has been seen.
 
         Examples
@@ -152,12 +154,12 @@
         >>> late = model.Upstream("i@2", "s", "10.0.0.1:1", name="i",
         ...     born_ms=2)
         >>> registry.put(late)
-        >>> registry.is_past(attrs.evolve(late, born_ms=1))
+        >>> registry.is_superseded(attrs.evolve(late, born_ms=1))
         True
         """
-        return upstream.born_ms < self._births_ms.get(upstream.name, 0)
+        return upstream.born_ms < self._newest_start_ms.get(upstream.name, 0)
 
-    def _forget(self, incarnation: str) -> None:
+    def _drop(self, incarnation: str) -> None:
         found = self._known.pop(incarnation)
         del self._by_name[found.upstream.name]
         self._by_service = None
@@ -167,21 +169,21 @@
         known = self._known.get(incarnation)
         if known is None:
             return None
-        if now_s < self._lenient_until_s and not known.upstream.is_leaving:
+        if now_s < self._grace_until_s and not known.upstream.is_leaving:
             if known.missing_since_s is not None:
                 return None
             known.missing_since_s = now_s
             return Absence.MISSING
-        self._forget(incarnation)
+        self._drop(incarnation)
         return Absence.GONE
 
-    def tick(self, now_s: float) -> list[model.Upstream]:
+    def expire_missing(self, now_s: float) -> list[model.Upstream]:
         """Drop the entries that have stayed missing; return them."""
-        if now_s < self._lenient_until_s:
+        if now_s < self._grace_until_s:
             return []
         dropped = self._missing()
         for upstream in dropped:
-            self._forget(upstream.incarnation)
+            self._drop(upstream.incarnation)
         return dropped
 
     def _missing(self) -> list[model.Upstream]:
@@ -191,14 +193,14 @@
             if known.missing_since_s is not None
         ]
 
-    def numbers(self) -> dict[str, int]:
+    def counts(self) -> dict[str, int]:
         """Return how many upstreams are used, and missing of them."""
         return {
             "known": len(self._known),
             Absence.MISSING.value: len(self._missing()),
         }
 
-    def leaving(self, incarnation: str) -> bool:
+    def mark_leaving(self, incarnation: str) -> bool:
         """Note that an upstream said itself, or to a peer, that it leaves.
 
         Returns
@@ -213,7 +215,9 @@
         self._by_service = None
         return True
 
-    def has_weights(self, incarnation: str, name: str, version: int) -> None:
+    def update_weights(
+        self, incarnation: str, name: str, version: int
+    ) -> None:
         """Note the weights with which an upstream answered."""
         known = self._known.get(incarnation)
         if known is None or known.upstream.weights.get(name, 0) >= version:
@@ -227,7 +231,7 @@
         known = self._known.get(incarnation)
         return known.upstream if known else None
 
-    def named(self, name: str) -> model.Upstream | None:
+    def by_name(self, name: str) -> model.Upstream | None:
         """Return the newest start of the upstream of that name."""
         return self.get(self._by_name.get(name, ""))
 
@@ -236,7 +240,7 @@
         """All that are known."""
         return set(self._known)
 
-    def of(self, service: str) -> tuple[model.Upstream, ...]:
+    def for_service(self, service: str) -> tuple[model.Upstream, ...]:
         """Return the upstreams of a service, also leaving ones."""
         if self._by_service is None:
             self._by_service = _grouped(self._known)
@@ -256,7 +260,7 @@
 
 
 def _grouped(
-    known: Mapping[str, _Known],
+    known: Mapping[str, _Entry],
 ) -> dict[str, tuple[model.Upstream, ...]]:
     grouped: dict[str, list[model.Upstream]] = {}
     for each in known.values():
--- a/toucanrudder/forwarding/tries.py
+++ b/toucanrudder/forwarding/retry_policy.py
@@ -11,10 +11,10 @@
 
 #: Least time that must be left for another try to be worth starting: a
 #: connection and the shortest answers take about as long.
-LEAST_LEFT_S = 0.03
+MIN_ATTEMPT_TIME_S = 0.03
 
 
-class Ended(enum.Enum):
+class FailureKind(enum.Enum):
     """How a try ended without a whole answer."""
 
     #: No connection: nothing was sent.
@@ -38,28 +38,28 @@
 #: Ends after which the request certainly has not run in this try.
 PROVES_NOT_RUN = frozenset(
     {
-        Ended.NOT_REACHED,
-        Ended.FULL,
-        Ended.NOT_THERE,
-        Ended.OTHER_WEIGHTS,
+        FailureKind.NOT_REACHED,
+        FailureKind.FULL,
+        FailureKind.NOT_THERE,
+        FailureKind.OTHER_WEIGHTS,
     }
 )
 
 _CODES = {
-    Ended.NOT_REACHED: errors.Code.UPSTREAM_NOT_REACHED,
-    Ended.FULL: errors.Code.QUEUE_FULL,
-    Ended.NOT_THERE: errors.Code.NO_UPSTREAM,
-    Ended.OTHER_WEIGHTS: errors.Code.NO_UPSTREAM,
-    Ended.BROKEN: errors.Code.UPSTREAM_FAILED,
-    Ended.CROSSED: errors.Code.UPSTREAM_CROSSED_ANSWER,
-    Ended.SILENT: errors.Code.UPSTREAM_TIMEOUT,
-    Ended.FAILED: errors.Code.UPSTREAM_FAILED,
+    FailureKind.NOT_REACHED: errors.Code.UPSTREAM_NOT_REACHED,
+    FailureKind.FULL: errors.Code.QUEUE_FULL,
+    FailureKind.NOT_THERE: errors.Code.NO_UPSTREAM,
+    FailureKind.OTHER_WEIGHTS: errors.Code.NO_UPSTREAM,
+    FailureKind.BROKEN: errors.Code.UPSTREAM_FAILED,
+    FailureKind.CROSSED: errors.Code.UPSTREAM_CROSSED_ANSWER,
+    FailureKind.SILENT: errors.Code.UPSTREAM_TIMEOUT,
+    FailureKind.FAILED: errors.Code.UPSTREAM_FAILED,
 }
 
 
 #: Seconds of a stream within which its engine sends the first copy of the
 #: run.
-COPY_SENT_S = 0.25
+COPY_TRANSFER_S = 0.25
 
 
 @attrs.frozen
@@ -68,9 +68,9 @@
 
     Parameters
     ----------
-    may_have_run : int
+    possible_runs : int
         Tries in which it can have run.
-    tries : int
+    attempts : int
         All tries.
     events : int
         Events of a stream that the caller has got.
@@ -78,20 +78,20 @@
         Whether the last of them names a point to go on from.
     streamed_s : float
         Time since the caller got the first of them.
-    copy_was_asked : bool
+    is_copy_requested : bool
         Whether another engine was to hold a copy of the run's memory, and
         is still there.
     """
 
-    may_have_run: int = 0
-    tries: int = 0
+    possible_runs: int = 0
+    attempts: int = 0
     events: int = 0
     can_resume: bool = True
     streamed_s: float = 0.0
-    copy_was_asked: bool = False
+    is_copy_requested: bool = False
 
     @property
-    def can_continue(self) -> bool:
+    def can_continue_from_copy(self) -> bool:
         """Whether another engine can go on with the run.
 
         An engine that is asked to go on with a run of which it holds no
@@ -99,14 +99,14 @@
         and there must be an event to go on from.
         """
         return (
-            self.copy_was_asked
+            self.is_copy_requested
             and self.events > 0
             and self.can_resume
-            and self.streamed_s >= COPY_SENT_S
+            and self.streamed_s >= COPY_TRANSFER_S
         )
 
 
-class Identity(enum.Enum):
+class AnswerIdentity(enum.Enum):
     """Which request an upstream's answer named."""
 
     #: No head of an answer came.
@@ -119,7 +119,7 @@
     OTHER = "other"
 
 
-class Silence(enum.Enum):
+class SilenceFinding(enum.Enum):
     """What was last learned of a silent answer."""
 
     #: It was not silent, or not lost.
@@ -142,15 +142,15 @@
     ----------
     carried_requests : int
         Requests that its connection had carried before.
-    identity : Identity
+    identity : AnswerIdentity
         Which request the answer named.
-    silence : Silence
+    silence : SilenceFinding
         What was last learned of its silence.
     """
 
     carried_requests: int = 0
-    identity: Identity = Identity.NO_ANSWER
-    silence: Silence = Silence.NONE
+    identity: AnswerIdentity = AnswerIdentity.NO_ANSWER
+    silence: SilenceFinding = SilenceFinding.NONE
 
 
 class Step(enum.Enum):
@@ -163,16 +163,16 @@
 
 
 #: Tries of one request, also such that prove nothing ran: a caller gets
-#: his refusal early enough to come back.
-MAX_TRIES = 4
+#: his final_error early enough to come back.
+MAX_ATTEMPTS = 4
 
 
 def next_step(
-    ended: Ended,
+    ended: FailureKind,
     progress: Progress,
     route: model.Route,
     *,
-    left_s: float,
+    remaining_s: float,
 ) -> Step:
     """Say whether a request may and should be sent again.
 
@@ -180,33 +180,33 @@
 
     Parameters
     ----------
-    ended : Ended
+    ended : FailureKind
         How the newest try ended; `progress` counts it already.
     progress : Progress
         All tries so far.
     route : model.Route
         What may be repeated, and how often.
-    left_s : float
+    remaining_s : float
         Time left until the caller's deadline.
 
     Examples
     --------
     >>> from toucanrudder.forwarding import model
     >>> once = model.Route("r", "h", "/", ())
-    >>> next_step(Ended.BROKEN, Progress(1, 1), once, left_s=1.0)
+    >>> next_step(FailureKind.BROKEN, Progress(1, 1), once, remaining_s=1.0)
     <Step.GIVE_UP: 'give_up'>
-    >>> next_step(Ended.FULL, Progress(0, 1), once, left_s=1.0)
+    >>> next_step(FailureKind.FULL, Progress(0, 1), once, remaining_s=1.0)
     <Step.RETRY: 'retry'>
     """
-    if progress.tries >= MAX_TRIES or left_s < LEAST_LEFT_S:
+    if progress.attempts >= MAX_ATTEMPTS or remaining_s < MIN_ATTEMPT_TIME_S:
         return Step.GIVE_UP
-    broke = ended in (Ended.BROKEN, Ended.SILENT)
-    if broke and progress.can_continue:
+    broke = ended in (FailureKind.BROKEN, FailureKind.SILENT)
+    if broke and progress.can_continue_from_copy:
         # It stays one run, so this holds for requests that may run once.
         return Step.CONTINUE
-    if progress.may_have_run >= route.max_upstreams:
+    if progress.possible_runs >= route.max_upstreams:
         return Step.GIVE_UP
-    if progress.may_have_run and route.repetition is model.Repetition.ONCE:
+    if progress.possible_runs and route.repetition is model.Repetition.ONCE:
         return Step.GIVE_UP
     if progress.events:
         # The caller holds a part of the answer; only a stream that can be
@@ -217,8 +217,8 @@
     return Step.RETRY
 
 
-def refusal(
-    ended: Ended, progress: Progress, peer: str, retry_after_s: float
+def final_error(
+    ended: FailureKind, progress: Progress, peer: str, retry_after_s: float
 ) -> errors.RudderError:
     """Return the error for a request that has been given up.
 
@@ -226,7 +226,7 @@
     that promises "not run" after a try that may have run would make the
     caller book twice.
     """
-    if progress.may_have_run:
+    if progress.possible_runs:
         code = _CODES[ended]
         if ended in PROVES_NOT_RUN:
             code = errors.Code.UPSTREAM_FAILED
--- a/toucanrudder/forwarding/state.py
+++ b/toucanrudder/forwarding/state.py
@@ -35,7 +35,7 @@
 PEER_LOADS_KEPT_S = 1.5
 
 
-async def _not_asked(upstream: model.Upstream) -> None:
+async def _no_report(upstream: model.Upstream) -> None:
     """Ask no engine: none is known."""
 
 
@@ -66,20 +66,24 @@
     registry: registries.Registry = attrs.field(factory=registries.Registry)
     cache: caches.CacheIndex = attrs.field(factory=caches.CacheIndex)
     store_health: stores.StoreHealth = attrs.field(factory=stores.StoreHealth)
-    states: upstream_states.UpstreamStates = attrs.field(
+    upstream_stats: upstream_states.UpstreamStates = attrs.field(
         factory=upstream_states.UpstreamStates
     )
     pool: pools.ConnectionPool = attrs.field(factory=pools.ConnectionPool)
-    newest_weights: dict[str, "NamedWeights"] = attrs.field(factory=dict)
+    newest_weights: dict[str, "WeightsHistory"] = attrs.field(factory=dict)
     peer_loads: peers_loads.PeerLoads = attrs.field(
         factory=lambda: peers_loads.PeerLoads(PEER_LOADS_KEPT_S)
     )
-    reading: speeds.PrefillSpeeds = attrs.field(factory=speeds.PrefillSpeeds)
-    breaks: poison.CrashCounts = attrs.field(factory=poison.CrashCounts)
-    ask_engine: Callable[
+    prefill_speeds: speeds.PrefillSpeeds = attrs.field(
+        factory=speeds.PrefillSpeeds
+    )
+    crash_counts: poison.CrashCounts = attrs.field(factory=poison.CrashCounts)
+    fetch_engine_report: Callable[
         [model.Upstream], Awaitable[rollout.EngineReport | None]
-    ] = _not_asked
-    doubt_weights: Callable[[model.Upstream], None] = lambda upstream: None
+    ] = _no_report
+    report_weights_mismatch: Callable[[model.Upstream], None] = (
+        lambda upstream: None
+    )
     stopping: bool = False
     stopping_since_s: float = float("inf")
     stop_at_s: float = float("inf")
@@ -136,10 +140,10 @@
         return (
             not self.stopping
             and self._table is not None
-            and self.registry.is_filled
+            and self.registry.has_listing
         )
 
-    def retries_to(self, service: str) -> retry_window.RetryWindow:
+    def retries_for(self, service: str) -> retry_window.RetryWindow:
         """Return this router's share of the retries to a service."""
         found = self._retries.get(service)
         if found is None:
@@ -147,12 +151,14 @@
             self._retries[service] = found
         return found
 
-    def weights_named(self, name: str, version: int, now_s: float) -> bool:
+    def record_weights_version(
+        self, name: str, version: int, now_s: float
+    ) -> bool:
         """Note the newest weights of a model; say whether they are news."""
-        named = self.newest_weights.setdefault(name, NamedWeights(name))
+        named = self.newest_weights.setdefault(name, WeightsHistory(name))
         if version <= named.version:
             return False
-        named.named(version, now_s)
+        named.record(version, now_s)
         decisions.record(decisions.WeightsNamed(model=name, version=version))
         return True
 
@@ -170,7 +176,7 @@
             upstream
             for service in configuration.services.values()
             if service.engine is not None
-            for upstream in self.registry.of(service.name)
+            for upstream in self.registry.for_service(service.name)
         ]
 
     def cache_stores(self) -> tuple[model.CacheStore, ...]:
@@ -185,7 +191,7 @@
         usable = self.store_health.usable(self.cache_stores(), now_s)
         return stores.store_for(prompt, wall, usable)
 
-    def speed_of(
+    def speeds_for(
         self, service: str, store: model.CacheStore | None
     ) -> speeds.EngineSpeeds:
         """Return what a service's engines do in a second."""
@@ -193,7 +199,7 @@
         return speeds.engine_speeds(
             found.engine if found else None,
             store,
-            self.reading.tokens_per_s(service),
+            self.prefill_speeds.tokens_per_s(service),
         )
 
     def candidates(
@@ -203,8 +209,8 @@
         newest = None
         if prompt is not None:
             newest = self.newest_weights.get(prompt.model)
-        upstreams = self.registry.of(service)
-        ages_s = _ages_s(upstreams, newest)
+        upstreams = self.registry.for_service(service)
+        ages_s = _weights_ages_s(upstreams, newest)
         others = self.peer_loads.sums(now_s)
         found = []
         for upstream in upstreams:
@@ -214,7 +220,7 @@
             found.append(
                 placing.Candidate(
                     upstream,
-                    self.states.of(name),
+                    self.upstream_stats.of(name),
                     ages_s.get(version, 0.0),
                     work.prefill_tokens,
                     work.requests,
@@ -223,8 +229,8 @@
         return found
 
 
-def _ages_s(
-    upstreams: Iterable[model.Upstream], newest: "NamedWeights | None"
+def _weights_ages_s(
+    upstreams: Iterable[model.Upstream], newest: "WeightsHistory | None"
 ) -> dict[int, float]:
     """Return for how long each version in use has been superseded."""
     if newest is None:
@@ -242,7 +248,7 @@
 
 
 @attrs.define
-class NamedWeights:
+class WeightsHistory:
     """The weights that a model is to have.
 
     Parameters
@@ -256,8 +262,8 @@
 
     Examples
     --------
-    >>> named = NamedWeights("m")
-    >>> named.named(2, 10.0); named.named(3, 14.0)
+    >>> named = WeightsHistory("m")
+    >>> named.record(2, 10.0); named.record(3, 14.0)
     >>> named.age_s(1, 15.0), named.age_s(2, 15.0), named.age_s(3, 15.0)
     (5.0, 1.0, 0.0)
     """
@@ -266,7 +272,7 @@
     version: int = 0
     named_at_s: dict[int, float] = attrs.field(factory=dict)
 
-    def named(self, version: int, now_s: float) -> None:
+    def record(self, version: int, now_s: float) -> None:
         """Note that a version was named."""
         if version <= self.version:
             return
--- a/toucanrudder/forwarding/following.py
+++ b/toucanrudder/forwarding/store_watch.py
@@ -28,48 +28,48 @@
 
 #: Routers that follow the weights in the store: as many as may die at
 #: once without a delay for the next to notice.
-WEIGHTS_FOLLOWERS = 6
+WEIGHTS_WATCHERS = 6
 
 #: Longest wait of a watch on the configuration.  Peers tell of a newer
 #: generation within a second, and keep-alive probes end a silent
 #: connection; the wait only bounds what both have missed.
-MOST_WAIT_S = 20.0
+MAX_WATCH_WAIT_S = 20.0
 
 #: Number of routers by which changes are gathered at the most, a quarter
 #: of a second: in a large fleet they are gathered twice on their way.
-MOST_GATHERING = 40
+MAX_BATCHING_ROUTERS = 40
 
 #: Longest wait, after a start, for the routers to be known before changes
 #: of the registry are asked for: half of the shortest time within which a
 #: leaving upstream must have been noticed.
-UPSTREAMS_ALONE_S = 1.0
+UPSTREAMS_SETTLE_S = 1.0
 
 #: Routers whose watches of the usual wait cost the store little.
-USUAL_WAIT_ROUTERS = 16
+BASE_WAIT_ROUTERS = 16
 
 
 @attrs.frozen
-class Kinds:
+class WatchedKinds:
     """Which objects are followed, and how they are read.
 
     Parameters
     ----------
     configuration, upstreams, weights : str
-        Kinds.
-    document : callable
+        Kinds of objects, as the store names them.
+    read_document : callable
         Returns the document in a stored object, or None if it holds none.
-    upstream : callable
+    read_upstream : callable
         Returns the upstream in a stored object.
-    named_weights : callable
+    read_weights : callable
         Returns model and version in a stored object.
     """
 
     configuration: str
     upstreams: str
     weights: str
-    document: Callable
-    upstream: Callable[[interface.StoredObject], model.Upstream]
-    named_weights: Callable[[interface.StoredObject], tuple[str, int]]
+    read_document: Callable
+    read_upstream: Callable[[interface.StoredObject], model.Upstream]
+    read_weights: Callable[[interface.StoredObject], tuple[str, int]]
 
 
 def configuration_wait_s(usual_s: float, routers: int) -> float:
@@ -83,11 +83,11 @@
     >>> configuration_wait_s(5.0, 8), configuration_wait_s(5.0, 400)
     (5.0, 20.0)
     """
-    wait_s = usual_s * routers / USUAL_WAIT_ROUTERS
-    return min(max(usual_s, wait_s), max(usual_s, MOST_WAIT_S))
+    wait_s = usual_s * routers / BASE_WAIT_ROUTERS
+    return min(max(usual_s, wait_s), max(usual_s, MAX_WATCH_WAIT_S))
 
 
-class Following:
+class StoreWatch:
     """Keeps the router's tables up to date with the store.
 
     Parameters
@@ -96,7 +96,7 @@
         This router's tables.
     store : feed.KindFeed
         Where the objects are.
-    kinds : Kinds
+    kinds : WatchedKinds
         Which objects, and how they are read.
     gossip : peerings.Gossip
         Told of upstreams that leave.
@@ -114,7 +114,7 @@
         self,
         state: states.ForwardingState,
         store: feed.KindFeed,
-        kinds: Kinds,
+        kinds: WatchedKinds,
         gossip: peerings.Gossip,
         peering: peer_peerings.Peering,
         *,
@@ -132,13 +132,13 @@
         self._timeout_s = timeout_s
         self._wait_s = wait_s
         self._rng = rng
-        self._ranked_of: tuple[routers.Member, ...] = ()
+        self._ranked_members: tuple[routers.Member, ...] = ()
         self._names: tuple[str, ...] = ()
         self._cap_members: tuple[capping.Member, ...] = ()
-        self._place = 0
+        self._takeover_rank = 0
         self._settling = settling.Settling()
-        self._upstreams_settling = settling.Settling(UPSTREAMS_ALONE_S)
-        self._has_weights = self._has_lease = False
+        self._upstreams_settling = settling.Settling(UPSTREAMS_SETTLE_S)
+        self._has_read_weights = self._has_read_lease = False
         self._duties: set[str] = set()
         self._upstream_log = fanout.ChangeLog()
         peering.logs = {kinds.upstreams: self._upstream_log}
@@ -151,53 +151,55 @@
 
     def cap_members(self) -> tuple[capping.Member, ...]:
         """Return the live routers as owners of usage caps."""
-        self._rank()
+        self._refresh_membership()
         return self._cap_members
 
     def is_settled(self) -> bool:
         """Whether all live routers are probably known."""
         return self._is_settled(self._settling)
 
-    def live_names(self) -> tuple[str, ...]:
+    def live_router_names(self) -> tuple[str, ...]:
         """Return the names of all live routers, this one included."""
-        self._rank()
+        self._refresh_membership()
         return self._names
 
-    def place_in_line(self) -> int:
+    def takeover_rank(self) -> int:
         """Return how many live routers go before this one."""
-        self._rank()
-        return self._place
+        self._refresh_membership()
+        return self._takeover_rank
 
-    def _rank(self) -> None:
+    def _refresh_membership(self) -> None:
         """Work out what depends on who lives, if a router came or went."""
         live = self._live()
-        if live is self._ranked_of and self._names:
+        if live is self._ranked_members and self._names:
             return
-        self._ranked_of = live
+        self._ranked_members = live
         self._names = (self._state.name, *(each.name for each in live))
         self._cap_members = (
             capping.Member(self._state.name),
             *(capping.Member(each.name, each.address) for each in live),
         )
-        self._place = sum(name < self._state.name for name in self._names)
+        self._takeover_rank = sum(
+            name < self._state.name for name in self._names
+        )
 
-    def _note_duty(self, duty: str, held: bool) -> bool:
+    def _record_duty(self, duty: str, held: bool) -> bool:
         """Write down that a duty has come or gone; return `held`."""
         if held is not (duty in self._duties):
             self._duties ^= {duty}
             decisions.record(
                 decisions.DutyChanged(
-                    duty=duty, held=held, routers=len(self.live_names())
+                    duty=duty, held=held, routers=len(self.live_router_names())
                 )
             )
         return held
 
     def _is_reader(self) -> bool:
-        names = self.live_names()
+        names = self.live_router_names()
         if not fanout.uses_fanout(len(names)):
             return True
         is_reader = self._state.name in fanout.select_readers(names)
-        return self._note_duty("registry", is_reader)
+        return self._record_duty("registry", is_reader)
 
     def _upstreams_wait_s(self) -> float:
         """Return how long a watch on the registry waits.
@@ -205,16 +207,16 @@
         A few routers ask often enough to show that the registry serves
         calls.
         """
-        names = fanout.select_readers(self.live_names())
+        names = fanout.select_readers(self.live_router_names())
         waits_s = dict(zip(names, continuity.WATCH_WAITS_S, strict=False))
         return min(self._wait_s, waits_s.get(self._state.name, self._wait_s))
 
     def _has_followers(self) -> bool:
-        return fanout.uses_fanout(len(self.live_names()))
+        return fanout.uses_fanout(len(self.live_router_names()))
 
     def _choose_reader(self, shunned: set[str]) -> fanout.Reader | None:
         live = {each.name: each.address for each in self._live()}
-        readers = fanout.select_readers(self.live_names())
+        readers = fanout.select_readers(self.live_router_names())
         key = self._state.name.encode()[:64]
         for name in rendezvous.ranked(key, readers):
             if name in live and name not in shunned:
@@ -237,9 +239,9 @@
         )
 
     def _is_settled(self, of: settling.Settling) -> bool:
-        return of.is_settled(len(self.live_names()), clock.now_s())
+        return of.is_settled(len(self.live_router_names()), clock.now_s())
 
-    def _follows_weights(self) -> bool:
+    def _watches_weights(self) -> bool:
         """Whether this router follows the weights in the store itself.
 
         Only those that may soon have to give orders do; to the others it
@@ -248,9 +250,9 @@
         starts as a whole, nobody could tell another.
         """
         if not self._is_settled(self._settling):
-            return not self._has_weights
-        is_follower = self.place_in_line() < WEIGHTS_FOLLOWERS
-        return self._note_duty("weights", is_follower)
+            return not self._has_read_weights
+        is_follower = self.takeover_rank() < WEIGHTS_WATCHERS
+        return self._record_duty("weights", is_follower)
 
     def _watches_lease(self) -> bool:
         """Whether this router follows the lease for orders.
@@ -261,9 +263,9 @@
         engines wait for orders for as long as that look comes later.
         """
         if not self._is_settled(self._settling):
-            return not self._has_lease
-        is_watcher = self.place_in_line() < orders.LEASE_WATCHERS
-        return self._note_duty("lease", is_watcher)
+            return not self._has_read_lease
+        is_watcher = self.takeover_rank() < orders.LEASE_WATCHERS
+        return self._record_duty("lease", is_watcher)
 
     # Who follows.
 
@@ -286,7 +288,9 @@
             self._controller(
                 self._store,
                 kinds.configuration,
-                feeds.Follower(self._documents, _each(self._documents)),
+                feeds.Follower(
+                    self._on_documents, _for_each_change(self._on_documents)
+                ),
                 lambda: configuration_wait_s(
                     wait_s, self._state.live_routers()
                 ),
@@ -295,18 +299,20 @@
                 upstreams,
                 kinds.upstreams,
                 feeds.Follower(
-                    self._upstreams,
-                    self._upstream,
-                    self._state.registry.returned,
-                    self._confirmed,
+                    self._on_upstream_list,
+                    self._on_upstream_change,
+                    self._state.registry.mark_recovered,
+                    self._on_synced,
                 ),
                 self._upstreams_wait_s,
             ),
             self._controller(
                 self._store,
                 kinds.weights,
-                feeds.Follower(self._weights, _each(self._weights)),
-                is_wanted=self._follows_weights,
+                feeds.Follower(
+                    self._on_weights, _for_each_change(self._on_weights)
+                ),
+                is_wanted=self._watches_weights,
             ),
         ]
 
@@ -316,7 +322,7 @@
         """Return what tells the lease's part of the lease's object."""
 
         def replaced(objects, now_s: float) -> None:
-            self._has_lease = True
+            self._has_read_lease = True
             for stored in objects:
                 if stored.name == lease.name:
                     lease.observe(stored, now_s)
@@ -324,7 +330,7 @@
         return self._controller(
             self._store,
             holder.KIND,
-            feeds.Follower(replaced, _each(replaced)),
+            feeds.Follower(replaced, _for_each_change(replaced)),
             is_wanted=self._watches_lease,
         )
 
@@ -343,89 +349,93 @@
             timeout_s=self._timeout_s,
             wait_s=wait_s or (lambda: self._wait_s),
             rng=self._rng,
-            followers=lambda: min(self._state.live_routers(), MOST_GATHERING),
+            followers=lambda: min(
+                self._state.live_routers(), MAX_BATCHING_ROUTERS
+            ),
             is_wanted=is_wanted,
         )
 
     # What is read.
 
-    def _documents(self, objects, now_s: float) -> None:
+    def _on_documents(self, objects, now_s: float) -> None:
         for stored in objects:
-            document = strange.decode_or_none(self._kinds.document, stored)
+            document = strange.decode_or_none(
+                self._kinds.read_document, stored
+            )
             if document is not None:
                 self._offer(document, "store")
 
-    def _upstreams(self, objects, now_s: float) -> None:
+    def _on_upstream_list(self, objects, now_s: float) -> None:
         registry = self._state.registry
         read = (self._read_upstream(each) for each in objects)
         for upstream, absence in registry.replace(filter(None, read), now_s):
-            _note_upstream(upstream, absence.value)
-        self._state.states.retain(registry.incarnations)
+            _record_upstream_change(upstream, absence.value)
+        self._state.upstream_stats.retain(registry.incarnations)
 
-    def _confirmed(self, now_s: float, due_s: float) -> None:
+    def _on_synced(self, now_s: float, due_s: float) -> None:
         registry = self._state.registry
-        registry.confirmed(now_s, due_s)
+        registry.mark_synced(now_s, due_s)
         sent_s = self._upstream_log.last_answered_sent_s
         if sent_s is not None:
-            registry.was_served(continuity.Span(sent_s, sent_s))
+            registry.add_served_span(continuity.Span(sent_s, sent_s))
 
     def _read_upstream(
         self, stored: interface.StoredObject
     ) -> model.Upstream | None:
-        return strange.decode_or_none(self._kinds.upstream, stored)
+        return strange.decode_or_none(self._kinds.read_upstream, stored)
 
-    def _upstream(self, change: feed.Change, now_s: float) -> None:
+    def _on_upstream_change(self, change: feed.Change, now_s: float) -> None:
         registry = self._state.registry
         upstream = self._read_upstream(change.object)
         if upstream is not None and not change.is_deleted:
-            self._registered(upstream)
+            self._on_registered(upstream)
             return
         # An entry that cannot be read names no upstream to use.
-        known = registry.named(change.object.name)
-        is_earlier = upstream is not None and registry.is_past(upstream)
+        known = registry.by_name(change.object.name)
+        is_earlier = upstream is not None and registry.is_superseded(upstream)
         if known is None or is_earlier:
             return
         absence = registry.remove(known.incarnation, now_s)
         if absence is not None:
-            _note_upstream(known, absence.value)
-        self._state.states.retain(registry.incarnations)
+            _record_upstream_change(known, absence.value)
+        self._state.upstream_stats.retain(registry.incarnations)
 
-    def tick(self, now_s: float) -> None:
+    def expire_missing(self, now_s: float) -> None:
         """Drop the upstreams whose entries have stayed missing."""
         registry = self._state.registry
-        dropped = registry.tick(now_s)
+        dropped = registry.expire_missing(now_s)
         for upstream in dropped:
-            _note_upstream(upstream, registries.Absence.GONE.value)
+            _record_upstream_change(upstream, registries.Absence.GONE.value)
         if dropped:
-            self._state.states.retain(registry.incarnations)
+            self._state.upstream_stats.retain(registry.incarnations)
 
-    def _registered(self, upstream: model.Upstream) -> None:
+    def _on_registered(self, upstream: model.Upstream) -> None:
         registry = self._state.registry
-        if registry.is_past(upstream):
+        if registry.is_superseded(upstream):
             return
         known = registry.get(upstream.incarnation)
         if known is None:
-            _note_upstream(upstream, "came")
+            _record_upstream_change(upstream, "came")
         if upstream.is_leaving and not (known and known.is_leaving):
-            _note_upstream(upstream, "leaves")
-            self._gossip.left(upstream.incarnation, clock.now_s())
+            _record_upstream_change(upstream, "leaves")
+            self._gossip.record_leaving(upstream.incarnation, clock.now_s())
             # A peer that is cut off from the registry learns it from us.
             self._peering.client.hasten()
         registry.put(upstream)
         if known is None:
             # A start before this one under the same name is forgotten.
-            self._state.states.retain(registry.incarnations)
+            self._state.upstream_stats.retain(registry.incarnations)
 
-    def _weights(self, objects, now_s: float) -> None:
-        self._has_weights = True
+    def _on_weights(self, objects, now_s: float) -> None:
+        self._has_read_weights = True
         for stored in objects:
-            named = strange.decode_or_none(self._kinds.named_weights, stored)
-            if named and self._state.weights_named(*named, now_s):
+            named = strange.decode_or_none(self._kinds.read_weights, stored)
+            if named and self._state.record_weights_version(*named, now_s):
                 # Routers that do not follow the weights hear it from us.
                 self._peering.client.hasten()
 
 
-def _note_upstream(upstream: model.Upstream, change: str) -> None:
+def _record_upstream_change(upstream: model.Upstream, change: str) -> None:
     decisions.record(
         decisions.UpstreamSeen(
             upstream=upstream.incarnation,
@@ -436,7 +446,7 @@
     )
 
 
-def _each(replaced):
+def _for_each_change(replaced):
     """Return what takes one change where all objects are taken."""
 
     def changed(change: feed.Change, now_s: float) -> None:
--- a/toucanrudder/forwarding/stores.py
+++ b/toucanrudder/forwarding/stores.py
@@ -99,7 +99,7 @@
     >>> store_for(model.Prompt("m", (model.Part("own", 9),)), "", stores)
     """
     by_address = {each.address: each for each in stores}
-    if not by_address or not prompt.shared:
+    if not by_address or not prompt.shared_parts:
         return None
     ranked = rendezvous.ranked(
         rendezvous_key(prompt, wall), sorted(by_address)
@@ -109,4 +109,4 @@
 
 def rendezvous_key(prompt: model.Prompt, wall: str) -> bytes:
     """Return what decides on the home of a prompt's shared parts."""
-    return f"{wall}/{prompt.shared[-1].identity}".encode()[:64]
+    return f"{wall}/{prompt.shared_parts[-1].identity}".encode()[:64]
--- a/toucanrudder/forwarding/tests/test_cache_feed.py
+++ b/toucanrudder/forwarding/tests/test_cache_feed.py
@@ -184,7 +184,7 @@
         state, controller = _controller(None)
         running = asyncio.ensure_future(controller.run())
         for version in range(1, 40):
-            state.registry.has_weights("e1", "m", version)
+            state.registry.update_weights("e1", "m", version)
             for number in range(50):
                 part = model.Part(f"{version}-{number}", 9)
                 state.cache.add_parts(
--- a/toucanrudder/forwarding/tests/test_decisions.py
+++ b/toucanrudder/forwarding/tests/test_decisions.py
@@ -9,13 +9,17 @@
 from toucanrudder.forwarding import model
 from toucanrudder.forwarding import placing
 from toucanrudder.forwarding import registry
+from toucanrudder.forwarding import retry_policy
 from toucanrudder.forwarding import rollout
 from toucanrudder.forwarding import routing
-from toucanrudder.forwarding import tries
 from toucanrudder.forwarding import upstream_states
 from toucanrudder.store import continuity
 
-Ended, Progress, Step = tries.Ended, tries.Progress, tries.Step
+FailureKind, Progress, Step = (
+    retry_policy.FailureKind,
+    retry_policy.Progress,
+    retry_policy.Step,
+)
 
 
 def route(repetition=model.Repetition.ONCE, **fields):
@@ -29,79 +33,94 @@
 RESUMABLE = route(model.Repetition.RESUMABLE, max_upstreams=3, is_stream=True)
 
 STEPS = {
-    "once, nothing sent": (ONCE, Ended.NOT_REACHED, Progress(0, 1), "retry"),
-    "once, refused": (ONCE, Ended.FULL, Progress(0, 1), "retry"),
-    "once, other process": (ONCE, Ended.NOT_THERE, Progress(0, 1), "retry"),
+    "once, nothing sent": (
+        ONCE,
+        FailureKind.NOT_REACHED,
+        Progress(0, 1),
+        "retry",
+    ),
+    "once, refused": (ONCE, FailureKind.FULL, Progress(0, 1), "retry"),
+    "once, other process": (
+        ONCE,
+        FailureKind.NOT_THERE,
+        Progress(0, 1),
+        "retry",
+    ),
     "once, other weights": (
         ONCE,
-        Ended.OTHER_WEIGHTS,
+        FailureKind.OTHER_WEIGHTS,
         Progress(0, 1),
         "retry",
     ),
-    "once, broken": (ONCE, Ended.BROKEN, Progress(1, 1), "give_up"),
-    "once, silent": (ONCE, Ended.SILENT, Progress(1, 1), "give_up"),
-    "once, failed": (ONCE, Ended.FAILED, Progress(1, 1), "give_up"),
+    "once, broken": (ONCE, FailureKind.BROKEN, Progress(1, 1), "give_up"),
+    "once, silent": (ONCE, FailureKind.SILENT, Progress(1, 1), "give_up"),
+    "once, failed": (ONCE, FailureKind.FAILED, Progress(1, 1), "give_up"),
     "once, refused after a lost try": (
         ONCE,
-        Ended.FULL,
+        FailureKind.FULL,
         Progress(1, 2),
         "give_up",
     ),
     "once, broken with a copy": (
         ONCE,
-        Ended.BROKEN,
-        Progress(1, 1, events=4, streamed_s=0.5, copy_was_asked=True),
+        FailureKind.BROKEN,
+        Progress(1, 1, events=4, streamed_s=0.5, is_copy_requested=True),
         "continue",
     ),
     "copy, but no event": (
         ONCE,
-        Ended.BROKEN,
-        Progress(1, 1, streamed_s=0.5, copy_was_asked=True),
+        FailureKind.BROKEN,
+        Progress(1, 1, streamed_s=0.5, is_copy_requested=True),
         "give_up",
     ),
     "copy that can hardly have been sent": (
         ONCE,
-        Ended.SILENT,
-        Progress(1, 1, events=1, streamed_s=0.1, copy_was_asked=True),
+        FailureKind.SILENT,
+        Progress(1, 1, events=1, streamed_s=0.1, is_copy_requested=True),
         "give_up",
     ),
     "once, crossed with a copy": (
         ONCE,
-        Ended.CROSSED,
-        Progress(1, 1, events=4, streamed_s=0.5, copy_was_asked=True),
+        FailureKind.CROSSED,
+        Progress(1, 1, events=4, streamed_s=0.5, is_copy_requested=True),
         "give_up",
     ),
     "copy, but no point to go on from": (
         ONCE,
-        Ended.BROKEN,
+        FailureKind.BROKEN,
         Progress(
             1,
             1,
             events=4,
             can_resume=False,
             streamed_s=0.5,
-            copy_was_asked=True,
+            is_copy_requested=True,
         ),
         "give_up",
     ),
-    "twice, broken": (TWICE, Ended.BROKEN, Progress(1, 1), "retry"),
-    "twice, broken again": (TWICE, Ended.BROKEN, Progress(2, 2), "give_up"),
+    "twice, broken": (TWICE, FailureKind.BROKEN, Progress(1, 1), "retry"),
+    "twice, broken again": (
+        TWICE,
+        FailureKind.BROKEN,
+        Progress(2, 2),
+        "give_up",
+    ),
     "resumable, midway": (
         RESUMABLE,
-        Ended.BROKEN,
+        FailureKind.BROKEN,
         Progress(1, 1, events=4),
         "retry",
     ),
     "resumable, event without identity": (
         RESUMABLE,
-        Ended.BROKEN,
+        FailureKind.BROKEN,
         Progress(1, 1, events=4, can_resume=False),
         "give_up",
     ),
     "refused too often": (
         TWICE,
-        Ended.FULL,
-        Progress(0, tries.MAX_TRIES),
+        FailureKind.FULL,
+        Progress(0, retry_policy.MAX_ATTEMPTS),
         "give_up",
     ),
 }
@@ -111,29 +130,34 @@
     ("of", "ended", "progress", "step"), STEPS.values(), ids=STEPS.keys()
 )
 def test_what_follows_a_failed_try(of, ended, progress, step):
-    found = tries.next_step(ended, progress, of, left_s=1.0)
+    found = retry_policy.next_step(ended, progress, of, remaining_s=1.0)
     assert found is Step(step)
 
 
 def test_no_try_begins_without_time_for_it():
-    found = tries.next_step(
-        Ended.FULL, Progress(0, 1), TWICE, left_s=tries.LEAST_LEFT_S / 2
+    found = retry_policy.next_step(
+        FailureKind.FULL,
+        Progress(0, 1),
+        TWICE,
+        remaining_s=retry_policy.MIN_ATTEMPT_TIME_S / 2,
     )
     assert found is Step.GIVE_UP
 
 
-SAID = [(ended, 1) for ended in Ended] + [
-    (ended, 0) for ended in Ended if ended in tries.PROVES_NOT_RUN
+SAID = [(ended, 1) for ended in FailureKind] + [
+    (ended, 0) for ended in FailureKind if ended in retry_policy.PROVES_NOT_RUN
 ]
 
 
-@pytest.mark.parametrize(("ended", "may_have_run"), SAID)
-def test_not_run_is_said_only_with_proof(ended, may_have_run):
+@pytest.mark.parametrize(("ended", "possible_runs"), SAID)
+def test_not_run_is_said_only_with_proof(ended, possible_runs):
     # A caller comes back after a status that says "not run".  Said of a
     # request that may have run, it makes him book twice.
-    error = tries.refusal(ended, Progress(may_have_run, 1), "i1", 0.2)
+    error = retry_policy.final_error(
+        ended, Progress(possible_runs, 1), "i1", 0.2
+    )
     promises = error.status in (408, 421, 429, 503)
-    assert promises is not bool(may_have_run)
+    assert promises is not bool(possible_runs)
     assert promises is (error.retry_after_s is not None)
     assert promises is (error.ran is errors.Ran.NOT_RUN)
 
@@ -547,12 +571,12 @@
     # live.  They register again within about two seconds; to drop them at
     # once would refuse every request in between.
     found = registered("i1", "i2")
-    found.returned(5.0)
+    found.mark_recovered(5.0)
     found.replace([upstream("i2")], 5.0)
     assert found.incarnations == {"i1", "i2"}
-    found.tick(5.0 + registry.RELIST_S - 0.1)
+    found.expire_missing(5.0 + registry.RELIST_GRACE_S - 0.1)
     assert found.incarnations == {"i1", "i2"}
-    found.tick(5.0 + registry.RELIST_S)
+    found.expire_missing(5.0 + registry.RELIST_GRACE_S)
     assert found.incarnations == {"i2"}
 
 
@@ -560,55 +584,55 @@
     ("served", "until_s"),
     [
         # Nobody else was served; others were until long before.
-        (None, 10.0 + registry.RELIST_S),
-        (continuity.Span(0.0, 7.0), 10.0 + registry.RELIST_S),
+        (None, 10.0 + registry.RELIST_GRACE_S),
+        (continuity.Span(0.0, 7.0), 10.0 + registry.RELIST_GRACE_S),
         # Others were served all along, or sooner again than this router.
         (continuity.Span(0.0, 9.9), 10.0),
-        (continuity.Span(9.0, 10.1), 9.0 + registry.RELIST_S),
+        (continuity.Span(9.0, 10.1), 9.0 + registry.RELIST_GRACE_S),
         # Others were served again only later.
-        (continuity.Span(11.0, 12.0), 10.0 + registry.RELIST_S),
+        (continuity.Span(11.0, 12.0), 10.0 + registry.RELIST_GRACE_S),
     ],
 )
 def test_own_outage_is_not_taken_for_one_of_the_registry(served, until_s):
     """A router that was cut off goes on sending to upstreams that left."""
     found = registered("i1")
-    found.returned(10.0)
+    found.mark_recovered(10.0)
     found.remove("i1", 10.0)
     if served is not None:
-        found.was_served(served)
-    found.tick(until_s - 0.01)
+        found.add_served_span(served)
+    found.expire_missing(until_s - 0.01)
     assert found.incarnations == ({"i1"} if until_s > 10.0 else set())
-    found.tick(until_s)
+    found.expire_missing(until_s)
     assert not found.incarnations
 
 
 def test_what_a_list_lacks_is_told_once():
     found = registered("i1", "i2", "i3")
-    found.leaving("i2")
-    found.returned(5.0)
+    found.mark_leaving("i2")
+    found.mark_recovered(5.0)
     absent = found.replace([upstream("i3")], 5.0)
     assert [(each.name, absence) for each, absence in absent] == [
         ("i1", registry.Absence.MISSING),
         ("i2", registry.Absence.GONE),
     ]
-    assert found.numbers() == {"known": 2, "missing": 1}
+    assert found.counts() == {"known": 2, "missing": 1}
     assert found.replace([upstream("i3")], 5.1) == []
-    assert [each.name for each in found.tick(60.0)] == ["i1"]
+    assert [each.name for each in found.expire_missing(60.0)] == ["i1"]
 
 
 def test_an_entry_that_is_back_stays():
     found = registered("i1")
-    found.returned(5.0)
+    found.mark_recovered(5.0)
     found.remove("i1", 5.1)
     found.put(upstream("i1"))
-    found.tick(60.0)
+    found.expire_missing(60.0)
     assert found.incarnations == {"i1"}
 
 
 def test_a_leaving_upstream_is_not_kept_through_an_outage():
     found = registered("i1")
-    found.leaving("i1")
-    found.returned(5.0)
+    found.mark_leaving("i1")
+    found.mark_recovered(5.0)
     found.remove("i1", 5.1)
     assert not found.incarnations
 
@@ -617,8 +641,8 @@
     # An entry was written before the upstream answered with newer weights
     # and said that it leaves.
     found = registered("i1")
-    found.has_weights("i1", "m", 4)
-    found.leaving("i1")
+    found.update_weights("i1", "m", 4)
+    found.mark_leaving("i1")
     found.put(upstream("i1", version=2))
     known = found.get("i1")
     assert (known.weights["m"], known.is_leaving) == (4, True)
@@ -720,6 +744,6 @@
     # would give its turn up again and again on a site that is well.
     found = registry.Registry()
     assert found.overdue_s(0.0) > 0.0
-    found.confirmed(10.0, due_s=15.5)
+    found.mark_synced(10.0, due_s=15.5)
     assert found.overdue_s(15.0) == 0.0
     assert found.overdue_s(18.0) == 2.5
--- a/toucanrudder/forwarding/tests/test_orders.py
+++ b/toucanrudder/forwarding/tests/test_orders.py
@@ -65,7 +65,7 @@
     """Let the registry answer, with no change to tell."""
     while True:
         now_s = clock.now_s()
-        registry.confirmed(now_s, now_s + CONFIRMED_EACH_S)
+        registry.mark_synced(now_s, now_s + CONFIRMED_EACH_S)
         await asyncio.sleep(CONFIRMED_EACH_S)
 
 
@@ -94,7 +94,7 @@
         for name in known:
             entry = model.Upstream(name, "s", f"{name}:80", weights={"m": 1})
             state.registry.put(entry)
-        state.weights_named("m", 2, clock.now_s())
+        state.record_weights_version("m", 2, clock.now_s())
         self.states.append(state)
         lease = holder.LeaseHolder(
             self.store,
@@ -234,7 +234,7 @@
         for version in (3, 4):
             await asyncio.sleep(BOUND_S)
             for state in fleet.states:
-                state.weights_named("m", version, clock.now_s())
+                state.record_weights_version("m", version, clock.now_s())
         return await fleet.lag_after(BOUND_S, version)
 
     assert timing.run(day) == []
--- a/toucanrudder/forwarding/tests/test_placing_cost.py
+++ b/toucanrudder/forwarding/tests/test_placing_cost.py
@@ -131,7 +131,7 @@
     may_use_store = state.store is not None and each.weights_age_s <= 0
     if (
         may_use_store
-        and state.prompt.shared
+        and state.prompt.shared_parts
         and not state.engines_report_cache
     ):
         everyone = ()
@@ -174,10 +174,10 @@
 def plain_choice(state):
     speed, prompt = speeds.EngineSpeeds(), state.prompt
     names = [each.upstream.incarnation for each in state.candidates]
-    if prompt.shared:
+    if prompt.shared_parts:
         key = stores.rendezvous_key(prompt, "")
         names = rendezvous.ranked(key, names)
-    shared = sum(part.tokens for part in prompt.shared)
+    shared = sum(part.tokens for part in prompt.shared_parts)
 
     def cost(option):
         rank = names.index(option.candidate.upstream.incarnation)
--- a/toucanrudder/forwarding/tests/test_restarts.py
+++ b/toucanrudder/forwarding/tests/test_restarts.py
@@ -110,7 +110,7 @@
     @stateful.rule(name=NAMES, back=strategies.integers(0, 2))
     def peers_say_it_leaves(self, name, back):
         incarnation = self.some_start(name, back).incarnation
-        if self.registry.leaving(incarnation):
+        if self.registry.mark_leaving(incarnation):
             self.left.add(incarnation)
 
     @stateful.rule(
@@ -120,7 +120,7 @@
     )
     def answers(self, name, back, version):
         incarnation = self.some_start(name, back).incarnation
-        self.registry.has_weights(incarnation, "m", version)
+        self.registry.update_weights(incarnation, "m", version)
         if self.registry.get(incarnation):
             before = self.versions.get(incarnation, 0)
             self.versions[incarnation] = max(before, version)
@@ -139,18 +139,18 @@
 
     @stateful.rule()
     def registry_is_back(self):
-        self.registry.returned(self.now_s)
+        self.registry.mark_recovered(self.now_s)
 
     @stateful.rule(seconds=strategies.sampled_from([0.5, 3.0]))
     def passes(self, seconds):
         self.now_s += seconds
-        self.registry.tick(self.now_s)
+        self.registry.expire_missing(self.now_s)
         self.keep()
 
     @stateful.invariant()
     def each_name_is_its_newest_start(self):
         for name, told_ms in self.told_ms.items():
-            known = self.registry.named(name)
+            known = self.registry.by_name(name)
             assert known is None or known.born_ms == told_ms
         names = {each.partition("@")[0] for each in self.registry.incarnations}
         assert len(names) == len(self.registry.incarnations)
@@ -168,7 +168,7 @@
 
     @stateful.invariant()
     def orders_go_to_known_starts(self):
-        engines = self.registry.of("s")
+        engines = self.registry.for_service("s")
         tasks = rollout.outstanding_tasks(engines, {"m": 9})
         found = {each.upstream.incarnation for each in tasks}
         assert found <= self.registry.incarnations
--- a/toucanrudder/forwarding/tests/test_starts.py
+++ b/toucanrudder/forwarding/tests/test_starts.py
@@ -6,8 +6,8 @@
 import attrs
 import pytest
 
-from toucanrudder.forwarding import following
 from toucanrudder.forwarding import orders
+from toucanrudder.forwarding import store_watch
 from toucanrudder.leases import holder
 from toucanrudder.observability import decisions
 from toucanrudder.store import fanout
@@ -26,7 +26,7 @@
 MOST_CALLS = 6
 
 #: Routers that do a part for all, each with a call a second for it.
-FEW = fanout.READERS + following.WEIGHTS_FOLLOWERS + orders.LEASE_WATCHERS
+FEW = fanout.READERS + store_watch.WEIGHTS_WATCHERS + orders.LEASE_WATCHERS
 
 
 @attrs.define(eq=False)
@@ -93,7 +93,7 @@
     assert by_call["snapshot", holder.KIND].total() == routers
     assert len(by_call["changes", holder.KIND]) <= orders.LEASE_WATCHERS
     watched = by_call["changes", sites.WEIGHTS]
-    assert len(watched) <= following.WEIGHTS_FOLLOWERS
+    assert len(watched) <= store_watch.WEIGHTS_WATCHERS
     assert calls.count <= MOST_CALLS * routers + FEW * STARTED_S
     # Each duty is taken up once, and none is given back.
     duties = collections.Counter(
@@ -101,6 +101,6 @@
     )
     assert duties == {
         "registry": fanout.READERS,
-        "weights": following.WEIGHTS_FOLLOWERS,
+        "weights": store_watch.WEIGHTS_WATCHERS,
         "lease": orders.LEASE_WATCHERS,
     }
--- a/toucanrudder/platform/dialect.py
+++ b/toucanrudder/platform/dialect.py
@@ -74,7 +74,7 @@
 class PlatformDialect(dialect.Dialect):
     """Heads as this platform's callers and upstreams write them."""
 
-    def call(self, head: message.RequestHead) -> model.Call:
+    def read_call(self, head: message.RequestHead) -> model.Call:
         """Read a caller's request."""
         path = head.target.partition(b"?")[0].decode("latin-1")
         host = (_text(head, b"host") or "").lower().partition(":")[0]
@@ -90,7 +90,7 @@
             resume_after=_text(head, b"last-event-id"),
         )
 
-    def request(
+    def upstream_request(
         self,
         head: message.RequestHead,
         body: bytes,
@@ -103,7 +103,7 @@
         has_body = body or head.get(b"content-length") or _is_chunked(head)
         copy = f"{instructions.continue_at}/{matched.call.request_id}"
         set_here = {
-            "Deadline-Ms": max(1, int(instructions.left_s * 1000)),
+            "Deadline-Ms": max(1, int(instructions.remaining_s * 1000)),
             "Expect-Instance": instructions.upstream.name,
             "Request-Priority": min(matched.rank, _LAST_PRIORITY),
             "Content-Length": len(body) if has_body else None,
@@ -128,12 +128,12 @@
             ),
         )
 
-    def facts(
+    def answer_facts(
         self,
         call: model.Call,
         upstream: model.Upstream,
         answer: message.AnswerHead,
-    ) -> dialect.Facts:
+    ) -> dialect.AnswerFacts:
         """Read the head of an upstream's answer."""
         answers = _text(answer, b"request-id") or None
         version = _text(answer, b"weight-versions")
@@ -141,12 +141,12 @@
             answer.get(b"not-executed") is not None
         )
         is_same = _text(answer, b"instance-id") == upstream.name
-        return dialect.Facts(
-            is_for=answers == call.request_id,
-            is_anonymous=answers is None,
+        return dialect.AnswerFacts(
+            is_for_request=answers == call.request_id,
+            names_no_request=answers is None,
             has_not_run=not_run,
             # One status says both; the identity tells them apart.
-            is_elsewhere=answer.status == 421 and not is_same,
+            is_other_process=answer.status == 421 and not is_same,
             has_other_weights=answer.status == 421 and is_same,
             is_sealed=answer.get(b"server-seal") is not None,
             load=_load(_text(answer, b"server-load")),
@@ -155,7 +155,7 @@
             else None,
         )
 
-    def error(
+    def error_answer(
         self, error: errors.RudderError, request_id: str
     ) -> tuple[message.Headers, bytes]:
         """Return fields and body of a refusal."""
--- a/toucanrudder/platform/place.py
+++ b/toucanrudder/platform/place.py
@@ -3,7 +3,7 @@
 from oslo_config import cfg
 
 from toucanrudder.forwarding import daemon
-from toucanrudder.forwarding import following
+from toucanrudder.forwarding import store_watch
 from toucanrudder.platform import dialect
 from toucanrudder.platform import objects
 from toucanrudder.platform import orders
@@ -15,13 +15,13 @@
     return daemon.Platform(
         dialect=dialect.PlatformDialect(),
         store=store.PlatformStore(conf.store.address),
-        kinds=following.Kinds(
+        kinds=store_watch.WatchedKinds(
             configuration=objects.CONFIGURATION_KIND,
             upstreams=objects.UPSTREAM_KIND,
             weights=objects.WEIGHTS_KIND,
-            document=objects.document,
-            upstream=objects.upstream,
-            named_weights=objects.named_weights,
+            read_document=objects.document,
+            read_upstream=objects.upstream,
+            read_weights=objects.named_weights,
         ),
         encode=objects.encode,
         decode=objects.decode,
--- a/toucanrudder/platform/tests/test_platform.py
+++ b/toucanrudder/platform/tests/test_platform.py
@@ -9,8 +9,8 @@
 import pytest
 
 from toucanrudder import clock
-from toucanrudder.forwarding import course
 from toucanrudder.forwarding import daemon
+from toucanrudder.forwarding import execution
 from toucanrudder.forwarding import model
 from toucanrudder.forwarding import poison
 from toucanrudder.http1 import client
@@ -150,7 +150,7 @@
     async def router(self, name="r1", seeds="", *, ready=True):
         conf = self.settings(name, seeds)
         found = daemon.Router(conf, place.platform(conf))
-        await self.stack.enter_async_context(found.served())
+        await self.stack.enter_async_context(found.serving())
         if ready:
             await until(lambda: found.state.is_ready)
         return found
@@ -210,7 +210,9 @@
 
 async def asked(router, *args, **kwargs):
     head, body = request(*args, **kwargs)
-    connection = await client.connect(router.callers.address, DEADLINE_S)
+    connection = await client.connect(
+        router.request_listener.address, DEADLINE_S
+    )
     answer, content = None, b""
     try:
         async with asyncio.timeout(DEADLINE_S):
@@ -391,7 +393,7 @@
     desk = await site.server()
     desk.behaviours = [standins.sheds]
     router = await site.router()
-    choose = course.Course._choose
+    choose = execution.RequestExecution._choose
 
     def slowly(self):
         try:
@@ -399,7 +401,7 @@
         finally:
             time.sleep(0.06)
 
-    monkeypatch.setattr(course.Course, "_choose", slowly)
+    monkeypatch.setattr(execution.RequestExecution, "_choose", slowly)
     assert (await asked(router, b"/w/x")).status == 200
 
 
@@ -789,7 +791,9 @@
     first.version = 2
     site.store.put("servers", first.incarnation, first.entry())
     registry = router.state.registry
-    await until(lambda: registry.named(first.incarnation).weights == {"m": 2})
+    await until(
+        lambda: registry.by_name(first.incarnation).weights == {"m": 2}
+    )
     first.resets_runs.set()
     assert not (await answer).is_whole
     assert sum(len(each.runs) for each in engines) == 1
@@ -826,7 +830,7 @@
         await asked(first, b"/once/x", body=b"poison", method=b"POST")
     runs = sum(len(each.runs) for each in engines)
     assert runs == poison.MAX_CRASHES
-    same = second.state.breaks
+    same = second.state.crash_counts
     await until(lambda: not same.is_empty)
     for router in (first, second):
         await until(lambda: any(map(same.is_poison, same.fingerprints)))
@@ -857,7 +861,9 @@
     engine.behaviours.append(standins.hangs)
     router = await site.router()
     head, body = request(b"/once/x")
-    connection = await client.connect(router.callers.address, DEADLINE_S)
+    connection = await client.connect(
+        router.request_listener.address, DEADLINE_S
+    )
     connection.send(head, body)
     await until(lambda: engine.runs)
     connection.abort()
@@ -904,7 +910,7 @@
     site.store.put("servers", "odd", spec)
     desk = await site.server()
     known = router.state.registry
-    await until(lambda: known.named(desk.incarnation))
+    await until(lambda: known.by_name(desk.incarnation))
     assert (await asked(router, b"/w/x")).status == 200
     assert len(known.incarnations) == 1
     late = await site.router("late")
@@ -918,12 +924,12 @@
     router = await site.router()
     site.store.put("servers", desk.incarnation, {"service": None})
     known = router.state.registry
-    await until(lambda: not known.named(desk.incarnation))
+    await until(lambda: not known.by_name(desk.incarnation))
     for _ in range(3):
         assert (await asked(router, b"/w/x")).status == 200
     assert len(other.runs) == 3
     site.store.put("servers", desk.incarnation, desk.entry())
-    await until(lambda: known.named(desk.incarnation))
+    await until(lambda: known.by_name(desk.incarnation))
 
 
 async def test_an_engine_that_starts_again_is_another(site):
@@ -937,22 +943,22 @@
     site.store.put("servers", engine.incarnation, old)
     router = await site.router()
     registry, believed = router.state.registry, router.state.cache
-    first = registry.named(engine.incarnation).incarnation
+    first = registry.by_name(engine.incarnation).incarnation
     believed.add_parts(first, "1", (model.Part("aa", 100),))
-    registry.leaving(first)
+    registry.mark_leaving(first)
     engine.start_again()
     site.store.put("servers", engine.incarnation, engine.entry())
     await until(
-        lambda: registry.named(engine.incarnation).incarnation != first
+        lambda: registry.by_name(engine.incarnation).incarnation != first
     )
-    second = registry.named(engine.incarnation)
+    second = registry.by_name(engine.incarnation)
     assert not second.is_leaving
     parts = (model.Part("aa", 100),)
     assert not believed.cached_tokens(second.incarnation, "1", parts)
     site.store.put("servers", engine.incarnation, old)
     site.store.put("versions", "m", {"model": "m", "version": 2})
     await until(lambda: registry.get(second.incarnation).weights == {"m": 2})
-    assert registry.named(engine.incarnation).born_ms == engine.born
+    assert registry.by_name(engine.incarnation).born_ms == engine.born
     answer = await asked(router, b"/s/x")
     assert answer.body == EVENTS
 
@@ -1035,7 +1041,7 @@
     router = await site.router()
     site.store.put("config", "main", CAPPED)
     await until(lambda: router.state.generation == 4)
-    await until(router.following.is_settled)
+    await until(router.store_watch.is_settled)
     answers = [await asked(router) for _ in range(30)]
     refused = [each for each in answers if each.status == 429]
     assert refused and len(refused) == len(answers) - len(desk.runs)
@@ -1124,7 +1130,7 @@
     router = await site.router()
     engine.busy = True
     bound_s = router.state.pace.bound_s
-    router.state.weights_named("m", 2, clock.now_s() - bound_s)
+    router.state.record_weights_version("m", 2, clock.now_s() - bound_s)
     answer = await asked(router, b"/s/x")
     assert answer.status == 503
     assert b"weights_too_old" in answer.body
@@ -1169,7 +1175,7 @@
     # is answered whole or told, truthfully, that it has not run.
     desk = await site.server()
     router = await site.router()
-    stop = asyncio.ensure_future(router.drained())
+    stop = asyncio.ensure_future(router.drain())
     await asyncio.sleep(0)
     assert not router.state.is_ready
     answer = await asked(router, b"/w/x")
@@ -1259,7 +1265,7 @@
     reader = next(each for each in fanned_out if each.state.name == name)
     others = [each for each in fanned_out if each is not reader]
     await reader.peering.client._channels.close()
-    reader.following._upstream_log.age_s = lambda now_s: float("inf")
+    reader.store_watch._upstream_log.age_s = lambda now_s: float("inf")
     desk = await site.server()
     await until(
         lambda: all(
--- a/toucanrudder/soak/mutants.py
+++ b/toucanrudder/soak/mutants.py
@@ -37,15 +37,15 @@
 MUTANTS = (
     Mutant(
         "requests that may run once are sent again",
-        "forwarding/tries.py",
-        "if progress.may_have_run and route.repetition is "
+        "forwarding/retry_policy.py",
+        "if progress.possible_runs and route.repetition is "
         "model.Repetition.ONCE:",
         "if False:",
     ),
     Mutant(
         "a lost answer is called not run",
-        "forwarding/tries.py",
-        "    if progress.may_have_run:\n        code =",
+        "forwarding/retry_policy.py",
+        "    if progress.possible_runs:\n        code =",
         "    if False:\n        code =",
     ),
     Mutant(
@@ -57,26 +57,26 @@
     Mutant(
         "a stream goes on one event too early",
         "forwarding/attempt.py",
-        "resume_after=self.course.last_event",
-        "resume_after=self.course.last_event and "
-        "str(int(self.course.last_event) - 1)",
+        "resume_after=self.execution.last_event_id",
+        "resume_after=self.execution.last_event_id and "
+        "str(int(self.execution.last_event_id) - 1)",
     ),
     Mutant(
         "answers are not matched with requests",
         "forwarding/attempt.py",
-        "        if not _is_for(facts, reused=connection.reused):\n",
+        "        if not _matches_request(facts, reused=connection.reused):\n",
         "        if False:\n",
     ),
     Mutant(
         "a run is continued where no copy of it can be",
-        "forwarding/tries.py",
+        "forwarding/retry_policy.py",
         "        return (\n"
-        "            self.copy_was_asked\n"
+        "            self.is_copy_requested\n"
         "            and self.events > 0\n"
         "            and self.can_resume\n"
-        "            and self.streamed_s >= COPY_SENT_S\n"
+        "            and self.streamed_s >= COPY_TRANSFER_S\n"
         "        )\n",
-        "        return self.copy_was_asked\n",
+        "        return self.is_copy_requested\n",
     ),
     Mutant(
         "any process at the address will do",
@@ -135,7 +135,7 @@
     ),
     Mutant(
         "retries cost nothing",
-        "forwarding/course.py",
+        "forwarding/execution.py",
         "if not window.spend(clock.now_s(), self.state.live_routers()):",
         "if False:",
     ),
--- a/toucanrudder/testing/virtual/sites.py
+++ b/toucanrudder/testing/virtual/sites.py
@@ -21,11 +21,11 @@
 from toucanrudder.admission import caps
 from toucanrudder.forwarding import cache_feed
 from toucanrudder.forwarding import daemon
-from toucanrudder.forwarding import following
 from toucanrudder.forwarding import loading
 from toucanrudder.forwarding import model
 from toucanrudder.forwarding import placing
 from toucanrudder.forwarding import rollout
+from toucanrudder.forwarding import store_watch
 from toucanrudder.peers import client as peer_clients
 from toucanrudder.peers import messages
 from toucanrudder.peers import server as peer_servers
@@ -84,13 +84,13 @@
     )
 
 
-KINDS = following.Kinds(
+KINDS = store_watch.WatchedKinds(
     configuration=CONFIGURATION,
     upstreams=UPSTREAMS,
     weights=WEIGHTS,
-    document=lambda stored: model.Document(CONFIGURED, b"{}"),
-    upstream=_upstream,
-    named_weights=lambda stored: (stored.name, stored.value["version"]),
+    read_document=lambda stored: model.Document(CONFIGURED, b"{}"),
+    read_upstream=_upstream,
+    read_weights=lambda stored: (stored.name, stored.value["version"]),
 )
 
 
