--- a/toucanrudder/bench/capacity/pure.py
+++ b/toucanrudder/bench/capacity/pure.py
@@ -20,7 +20,7 @@
 
     draw = random.Random(1)
     each = size // BELIEF_ENGINES
-    held = prefix.Beliefs(
+    held = prefix.PrefixCacheIndex(
         max_blocks_per_engine=each, max_engines=BELIEF_ENGINES
     )
     meter = isolation.Meter()
--- a/toucanrudder/controllers/cache_events.py
+++ b/toucanrudder/controllers/cache_events.py
@@ -13,7 +13,7 @@
 
 from toucanrudder.document import model
 from toucanrudder.observability import metrics
-from toucanrudder.prefix import beliefs
+from toucanrudder.prefix import cache_index
 
 LOG = logging.getLogger(__name__)
 
@@ -48,7 +48,7 @@
     ----------
     session : aiohttp.ClientSession
         For the streams.
-    believed : beliefs.Beliefs
+    believed : cache_index.PrefixCacheIndex
         Takes the events.
     upstreams : callable
         Returns the configured upstreams.
@@ -61,7 +61,7 @@
     def __init__(
         self,
         session: aiohttp.ClientSession,
-        believed: beliefs.Beliefs,
+        believed: cache_index.PrefixCacheIndex,
         upstreams: Callable[[], tuple[model.Upstream, ...]],
         rng: random.Random,
         clock: Callable[[], float],
--- a/toucanrudder/controllers/tests/test_cache_events.py
+++ b/toucanrudder/controllers/tests/test_cache_events.py
@@ -12,7 +12,7 @@
 from toucanrudder import clock
 from toucanrudder.controllers import cache_events
 from toucanrudder.document import model
-from toucanrudder.prefix import beliefs
+from toucanrudder.prefix import cache_index
 from toucanrudder.standins import engine as engines
 from toucanrudder.testing.virtual import timing
 
@@ -39,7 +39,7 @@
     after the old number hears nothing for long, and goes on computing
     prompts that the engine holds.
     """
-    believed = beliefs.Beliefs()
+    believed = cache_index.PrefixCacheIndex()
     options = {"name": "e", "event_lag_s": 0.0}
     async with aiohttp.ClientSession() as session:
         async with engines.opened(**options) as first:
@@ -134,7 +134,7 @@
     """
 
     async def main():
-        believed = beliefs.Beliefs()
+        believed = cache_index.PrefixCacheIndex()
         streams = Streams({URLS[0]: line.strip() + b"\n"})
         running = asyncio.ensure_future(_controller(streams, believed).run())
         await asyncio.sleep(1.0 + max(cache_events.RECONNECT_S))
@@ -155,7 +155,7 @@
     """
 
     async def main():
-        believed = beliefs.Beliefs()
+        believed = cache_index.PrefixCacheIndex()
         streams = Streams({URLS[0]: RuntimeError("fault"), URLS[1]: b""})
         controller = _controller(streams, believed)
         with pytest.raises(ExceptionGroup):
@@ -180,7 +180,7 @@
     """
 
     async def main():
-        believed = beliefs.Beliefs()
+        believed = cache_index.PrefixCacheIndex()
         streams = Streams({URLS[0]: asyncio.CancelledError(), URLS[1]: b""})
         running = asyncio.ensure_future(_controller(streams, believed).run())
         await asyncio.sleep(3 * cache_events.CHECK_S)
--- a/toucanrudder/prefix/beliefs.py
+++ b/toucanrudder/prefix/cache_index.py
@@ -1,6 +1,6 @@
 """What each engine is believed to hold in its prefix cache.
 
-Beliefs are kept for an engine process, named by upstream and incarnation,
+Entries are kept for an engine process, named by upstream and incarnation,
 and looked up by exactly that name.  The keys themselves depend on the
 organisation and the weights (`toucanrudder.prefix.identity`).  Nothing
 believed of a dead engine, another organisation or older weights can thus
@@ -45,7 +45,7 @@
 
 
 @attrs.define
-class _EngineBeliefs:
+class _EngineIndex:
     # From key to the time the block was last known to be used, oldest
     # first.
     used_at_s: collections.OrderedDict[bytes, float] = attrs.field(
@@ -56,8 +56,8 @@
     distrusted_before_s: float = float("-inf")
 
 
-class Beliefs:
-    """Beliefs about all engines.
+class PrefixCacheIndex:
+    """Entries of all engines.
 
     Parameters
     ----------
@@ -72,11 +72,11 @@
 
     Examples
     --------
-    >>> beliefs = Beliefs()
-    >>> beliefs.record_dispatch("hal-1", "a", (b"k1", b"k2"), now_s=1.0)
-    >>> beliefs.expected_cached_tokens("hal-1", "a", (b"k1", b"k2"), now_s=2.0)
+    >>> index = PrefixCacheIndex()
+    >>> index.record_dispatch("hal-1", "a", (b"k1", b"k2"), now_s=1.0)
+    >>> index.expected_cached_tokens("hal-1", "a", (b"k1", b"k2"), now_s=2.0)
     4000
-    >>> beliefs.expected_cached_tokens("hal-1", "b", (b"k1", b"k2"), now_s=2.0)
+    >>> index.expected_cached_tokens("hal-1", "b", (b"k1", b"k2"), now_s=2.0)
     0
     """
 
@@ -92,7 +92,7 @@
         self._max_age_s = max_age_s
         self._gap_max_age_s = gap_max_age_s
         self._engines: collections.OrderedDict[
-            tuple[str, str], _EngineBeliefs
+            tuple[str, str], _EngineIndex
         ] = collections.OrderedDict()
         self.accuracy = Accuracy()
 
@@ -261,18 +261,18 @@
         """Free what is held of an engine process known to be gone."""
         self._engines.pop((upstream, incarnation), None)
 
-    def _engine(self, upstream: str, incarnation: str) -> _EngineBeliefs:
+    def _engine(self, upstream: str, incarnation: str) -> _EngineIndex:
         name = (upstream, incarnation)
         engine = self._engines.get(name)
         if engine is None:
-            engine = self._engines[name] = _EngineBeliefs()
+            engine = self._engines[name] = _EngineIndex()
             if len(self._engines) > self._max_engines:
                 self._engines.popitem(last=False)
         self._engines.move_to_end(name)
         return engine
 
     def _advance(
-        self, engine: _EngineBeliefs, sequence: int, now_s: float
+        self, engine: _EngineIndex, sequence: int, now_s: float
     ) -> bool:
         if engine.sequence is not None and sequence <= engine.sequence:
             # A reconnected stream repeats old lines.  An old "stored"
@@ -283,7 +283,7 @@
         engine.sequence = sequence
         return True
 
-    def _distrust(self, engine: _EngineBeliefs, now_s: float) -> None:
+    def _distrust(self, engine: _EngineIndex, now_s: float) -> None:
         # Lost lines may have been evictions.  Blocks not seen in use for
         # a while are the likeliest victims, and trusting them would send
         # prompts to an engine that must compute them; recent ones stay,
@@ -292,11 +292,11 @@
             engine.distrusted_before_s, now_s - self._gap_max_age_s
         )
 
-    def _oldest_s(self, engine: _EngineBeliefs, now_s: float) -> float:
+    def _oldest_s(self, engine: _EngineIndex, now_s: float) -> float:
         return max(engine.distrusted_before_s, now_s - self._max_age_s)
 
     def _use(
-        self, engine: _EngineBeliefs, keys: Sequence[bytes], now_s: float
+        self, engine: _EngineIndex, keys: Sequence[bytes], now_s: float
     ) -> None:
         # Innermost first: engines evict a block before its parent, so the
         # parent is the one to remember longer.
@@ -307,6 +307,6 @@
             engine.used_at_s.popitem(last=False)
 
 
-def _drop(engine: _EngineBeliefs, keys: Iterable[bytes]) -> None:
+def _drop(engine: _EngineIndex, keys: Iterable[bytes]) -> None:
     for key in keys:
         engine.used_at_s.pop(key, None)
--- a/toucanrudder/prefix/tests/test_prefix.py
+++ b/toucanrudder/prefix/tests/test_prefix.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from toucanrudder.prefix import beliefs
+from toucanrudder.prefix import cache_index
 from toucanrudder.prefix import heat
 from toucanrudder.prefix import identity
 
@@ -75,7 +75,7 @@
     the first process must not be credited to the second, even if nobody
     has yet noticed the crash and nothing was cleaned up.
     """
-    held = beliefs.Beliefs()
+    held = cache_index.PrefixCacheIndex()
     held.record_dispatch("e", "one", KEYS, 1.0)
     assert (
         held.expected_cached_tokens(upstream, incarnation, keys, 2.0) == tokens
@@ -89,7 +89,7 @@
     The engine process is the same, and so is the text.  Its blocks may
     not be credited: the engine would have to compute them anew.
     """
-    held = beliefs.Beliefs()
+    held = cache_index.PrefixCacheIndex()
     held.record_dispatch("e", "one", chain(), 1.0)
     assert held.expected_cached_tokens("e", "one", chain(), 2.0) == 4000
     assert held.expected_cached_tokens("e", "one", chain(**changed), 2.0) == 0
@@ -101,7 +101,7 @@
     The answer names the new process.  The dispatch was noted for the old
     one; only the new one is known to hold the prompt now.
     """
-    held = beliefs.Beliefs()
+    held = cache_index.PrefixCacheIndex()
     held.record_dispatch("e", "old", KEYS, 1.0)
     held.record_answer(
         "e", "new", KEYS[:1], expected_tokens=6000, cached_tokens=0, now_s=2.0
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize(("events", "tokens"), EVENTS.values(), ids=EVENTS)
 def test_events(events, tokens):
-    held = beliefs.Beliefs()
+    held = cache_index.PrefixCacheIndex()
     for kind, sequence, keys in events:
         arguments = (sequence,) if keys is None else (sequence, keys)
         getattr(held, kind)("e", "one", *arguments, now_s=1.0)
@@ -141,7 +141,7 @@
     Blocks not used for long are no longer trusted; nothing says that they
     are there.  Blocks in recent use stay.
     """
-    held = beliefs.Beliefs(gap_max_age_s=10.0)
+    held = cache_index.PrefixCacheIndex(gap_max_age_s=10.0)
     held.stored("e", "one", 1, KEYS, 0.0)
     held.record_dispatch("e", "one", KEYS[:1], 25.0)
     assert held.expected_cached_tokens("e", "one", KEYS, 30.0) == 6000
@@ -153,7 +153,7 @@
 
 
 def test_beliefs_age_and_are_bounded():
-    held = beliefs.Beliefs(
+    held = cache_index.PrefixCacheIndex(
         max_blocks_per_engine=4, max_engines=2, max_age_s=60.0
     )
     held.record_dispatch("e", "one", KEYS, 0.0)
@@ -165,7 +165,7 @@
 
 
 def test_failed_dispatch_is_withdrawn():
-    held = beliefs.Beliefs()
+    held = cache_index.PrefixCacheIndex()
     held.record_dispatch("e", "one", KEYS, 0.0)
     held.withdraw_dispatch("e", "one", KEYS)
     assert held.expected_cached_tokens("e", "one", KEYS, 0.0) == 0
--- a/toucanrudder/router/assembly.py
+++ b/toucanrudder/router/assembly.py
@@ -27,7 +27,7 @@
 from toucanrudder.membership import routers
 from toucanrudder.peers import loads as peer_loads
 from toucanrudder.peers import peering as peerings
-from toucanrudder.prefix import beliefs
+from toucanrudder.prefix import cache_index
 from toucanrudder.prefix import heat
 from toucanrudder.router import background
 from toucanrudder.router import exchanges
@@ -196,7 +196,7 @@
     )
     load_table = loads.LoadTable()
     own = in_flight.InFlightTable()
-    believed = beliefs.Beliefs()
+    believed = cache_index.PrefixCacheIndex()
     hot = heat.Heat()
     others = peer_loads.PeerLoads(conf.peers.silent_s)
     connect_timeout_s = conf.upstreams.connect_timeout_s
--- a/toucanrudder/router/fleet.py
+++ b/toucanrudder/router/fleet.py
@@ -9,7 +9,7 @@
 from toucanrudder.peers import loads as peer_loads
 from toucanrudder.placement import policies
 from toucanrudder.placement import types
-from toucanrudder.prefix import beliefs
+from toucanrudder.prefix import cache_index
 from toucanrudder.prefix import heat
 from toucanrudder.upstreams import in_flight
 from toucanrudder.upstreams import loads
@@ -28,7 +28,7 @@
         Reports.
     own : in_flight.InFlightTable
         This router's own work.
-    believed : beliefs.Beliefs
+    believed : cache_index.PrefixCacheIndex
         Where prefixes are believed cached.
     hot : heat.Heat
         Rates of prefixes.
@@ -43,7 +43,7 @@
         policy_name: str,
         load_table: loads.LoadTable,
         own: in_flight.InFlightTable,
-        believed: beliefs.Beliefs,
+        believed: cache_index.PrefixCacheIndex,
         hot: heat.Heat,
         others: peer_loads.PeerLoads,
     ):
--- a/toucanrudder/router/state.py
+++ b/toucanrudder/router/state.py
@@ -26,7 +26,7 @@
 from toucanrudder.messages import request as requests
 from toucanrudder.peers import loads as peer_loads
 from toucanrudder.placement import types
-from toucanrudder.prefix import beliefs
+from toucanrudder.prefix import cache_index
 from toucanrudder.prefix import heat
 from toucanrudder.prefix import identity
 from toucanrudder.relay import attempt as attempts
@@ -88,7 +88,7 @@
     services: service.ServiceClient
     loads: loads.LoadTable
     in_flight: in_flight.InFlightTable
-    beliefs: beliefs.Beliefs
+    beliefs: cache_index.PrefixCacheIndex
     heat: heat.Heat
     fleet: fleet.Fleet
     admission: admission.AdmissionQueue
