--- a/toucanrudder/controllers/kept_cache.py
+++ b/toucanrudder/controllers/kept_cache.py
@@ -13,7 +13,7 @@
 from toucanrudder.placement import imports
 from toucanrudder.placement import rendezvous
 from toucanrudder.placement import types
-from toucanrudder.prefix import heat
+from toucanrudder.prefix import request_rates
 
 #: Requests a second, over all routers, from which a prefix is worth
 #: keeping: below it the copy is gone from use before it is fetched.
@@ -58,7 +58,7 @@
         For orders to engines.
     router : str
         Name of this router.
-    hot : heat.Heat
+    hot : request_rates.PrefixRates
         Rates of prefixes.
     routers : callable
         Returns the names of the live routers.
@@ -72,7 +72,7 @@
         self,
         session: aiohttp.ClientSession,
         router: str,
-        hot: heat.Heat,
+        hot: request_rates.PrefixRates,
         routers: Callable[[], Iterable[str]],
         clock: Callable[[], float],
         cost: imports.ImportCost = imports.ImportCost(),
--- a/toucanrudder/controllers/tests/test_kept_cache.py
+++ b/toucanrudder/controllers/tests/test_kept_cache.py
@@ -6,7 +6,7 @@
 from toucanrudder.controllers import kept_cache
 from toucanrudder.document import model
 from toucanrudder.placement import types
-from toucanrudder.prefix import heat
+from toucanrudder.prefix import request_rates
 from toucanrudder.standins import engine as engines
 from toucanrudder.standins import platform as platforms
 from toucanrudder.testing import callers
@@ -27,7 +27,7 @@
 
 
 def kept(session=None, hot_keys=KEYS, router="r1", routers=("r1",)):
-    hot = heat.Heat()
+    hot = request_rates.PrefixRates()
     for number in range(20):
         hot.add(hot_keys, number * 0.1)
     return kept_cache.KeptCache(
--- a/toucanrudder/peers/messages.py
+++ b/toucanrudder/peers/messages.py
@@ -6,7 +6,7 @@
 
 from toucanrudder.membership import routers
 from toucanrudder.peers import peers_pb2
-from toucanrudder.prefix import heat
+from toucanrudder.prefix import request_rates
 from toucanrudder.quarantine import entry
 
 #: Entries of each list that are read from one heartbeat; a peer's fault
@@ -99,7 +99,7 @@
         The sender's own work.
     quarantine : tuple of entry.Entry
         Facts about crashes.
-    hot_prefixes : tuple of heat.HotPrefix
+    hot_prefixes : tuple of request_rates.HotPrefix
         The sender's own hottest prefixes.
     total_rate_per_s : float
         Requests a second that the sender sees.
@@ -125,7 +125,7 @@
     generation: int = 0
     loads: tuple[UpstreamLoad, ...] = ()
     quarantine: tuple[entry.Entry, ...] = ()
-    hot_prefixes: tuple[heat.HotPrefix, ...] = ()
+    hot_prefixes: tuple[request_rates.HotPrefix, ...] = ()
     total_rate_per_s: float = 0.0
     members: tuple[routers.Member, ...] = ()
     want_all: bool = False
@@ -208,7 +208,7 @@
                 for each in message.quarantine[:MAX_QUARANTINE]
             ),
             hot_prefixes=tuple(
-                heat.HotPrefix(hot.key, _finite(hot.rate_per_s))
+                request_rates.HotPrefix(hot.key, _finite(hot.rate_per_s))
                 for hot in message.hot_prefixes[:MAX_HOT]
             ),
             total_rate_per_s=_finite(message.total_rate_per_s),
--- a/toucanrudder/peers/node.py
+++ b/toucanrudder/peers/node.py
@@ -13,7 +13,7 @@
 from toucanrudder.observability import metrics
 from toucanrudder.peers import loads as peer_loads
 from toucanrudder.peers import messages
-from toucanrudder.prefix import heat
+from toucanrudder.prefix import request_rates
 from toucanrudder.quarantine import entry
 
 LOG = logging.getLogger(__name__)
@@ -73,16 +73,16 @@
     loads: Callable[[], tuple[messages.UpstreamLoad, ...]] = tuple
     leaving: Callable[[], bool] = lambda: False
     quarantine: Callable[[float], tuple[entry.Entry, ...]] = lambda _: ()
-    hot_prefixes: Callable[[int, float], tuple[heat.HotPrefix, ...]] = (
-        lambda count, now_s: ()
-    )
+    hot_prefixes: Callable[
+        [int, float], tuple[request_rates.HotPrefix, ...]
+    ] = lambda count, now_s: ()
     total_rate_per_s: Callable[[float], float] = lambda now_s: 0.0
     merge: Callable[[tuple[entry.Entry, ...], float], object] = (
         lambda entries, wall_s: None
     )
-    hot: Callable[[str, tuple[heat.HotPrefix, ...], float, float], None] = (
-        lambda peer, prefixes, total, now_s: None
-    )
+    hot: Callable[
+        [str, tuple[request_rates.HotPrefix, ...], float, float], None
+    ] = lambda peer, prefixes, total, now_s: None
     leaving_upstreams: Callable[[float], tuple[str, ...]] = lambda now_s: ()
     avoided: Callable[[float], tuple[messages.Avoided, ...]] = lambda now_s: ()
     registry: Callable[[float], messages.Served | None] = lambda now_s: None
--- a/toucanrudder/peers/tests/test_peers.py
+++ b/toucanrudder/peers/tests/test_peers.py
@@ -15,7 +15,7 @@
 from toucanrudder.peers import messages
 from toucanrudder.peers import node as nodes
 from toucanrudder.peers import server
-from toucanrudder.prefix import heat
+from toucanrudder.prefix import request_rates
 from toucanrudder.quarantine import entry
 from toucanrudder.testing import proxy as proxies
 
@@ -306,7 +306,7 @@
     generation=7,
     loads=(messages.UpstreamLoad("e1", 4000, 2),),
     quarantine=(entry.Entry(entry.Kind.CRASH, "f", 1.5, "e", "i", True),),
-    hot_prefixes=(heat.HotPrefix(b"\x00\xff", 1.5),),
+    hot_prefixes=(request_rates.HotPrefix(b"\x00\xff", 1.5),),
     total_rate_per_s=2.5,
     members=(routers.Member("r2", "b:1", 5, 6),),
     want_all=True,
@@ -325,7 +325,7 @@
         {"sender": routers.Member("", "a:1", 1)},
         {"sender": routers.Member("r1", "", 1)},
         {"total_rate_per_s": float("nan")},
-        {"hot_prefixes": (heat.HotPrefix(b"k", float("inf")),)},
+        {"hot_prefixes": (request_rates.HotPrefix(b"k", float("inf")),)},
     ],
 )
 def test_a_bad_heartbeat_is_refused(change):
--- a/toucanrudder/prefix/heat.py
+++ b/toucanrudder/prefix/request_rates.py
@@ -35,7 +35,7 @@
     heard_at_s: float
 
 
-class Heat:
+class PrefixRates:
     """Decayed request rates of prefix keys, own and peers'.
 
     Parameters
@@ -50,7 +50,7 @@
 
     Examples
     --------
-    >>> heat = Heat(capacity=100, time_constant_s=10.0)
+    >>> heat = PrefixRates(capacity=100, time_constant_s=10.0)
     >>> for second in range(100):
     ...     heat.add((b"a",), now_s=float(second))
     >>> round(heat.rates((b"a", b"b"), now_s=99.0)[b"a"], 1)
--- a/toucanrudder/prefix/tests/test_prefix.py
+++ b/toucanrudder/prefix/tests/test_prefix.py
@@ -3,8 +3,8 @@
 import pytest
 
 from toucanrudder.prefix import cache_index
-from toucanrudder.prefix import heat
 from toucanrudder.prefix import identity
+from toucanrudder.prefix import request_rates
 
 KEYS = (b"k1", b"k2", b"k3")
 FLEET_KEY = "0123456789abcdef"
@@ -177,7 +177,7 @@
     Each takes over a counter.  The hot prefix must keep its rate, and no
     unique prompt may inherit one that makes it look hot.
     """
-    counts = heat.Heat(capacity=50, time_constant_s=10.0)
+    counts = request_rates.PrefixRates(capacity=50, time_constant_s=10.0)
     for number in range(2000):
         now_s = number / 100
         counts.add((b"u%d" % number,), now_s)
@@ -191,7 +191,7 @@
 
 
 def test_heat_decays_and_outlives_rescaling():
-    counts = heat.Heat(time_constant_s=10.0)
+    counts = request_rates.PrefixRates(time_constant_s=10.0)
     counts.add((b"a",), 0.0)
     counts.add((b"b",), 5000.0)
     rates = counts.rates((b"a", b"b"), 5000.0)
@@ -200,8 +200,8 @@
 
 
 def test_peers_heat_counts_until_they_fall_silent():
-    counts = heat.Heat(peer_max_age_s=5.0)
-    counts.update_peer("r2", (heat.HotPrefix(b"a", 3.0),), 7.0, 10.0)
+    counts = request_rates.PrefixRates(peer_max_age_s=5.0)
+    counts.update_peer("r2", (request_rates.HotPrefix(b"a", 3.0),), 7.0, 10.0)
     assert counts.rates((b"a",), 12.0) == {b"a": 3.0}
     assert counts.total_rate_per_s(12.0) == 7.0
     assert counts.rates((b"a",), 16.0) == {b"a": 0.0}
--- a/toucanrudder/router/assembly.py
+++ b/toucanrudder/router/assembly.py
@@ -28,7 +28,7 @@
 from toucanrudder.peers import loads as peer_loads
 from toucanrudder.peers import peering as peerings
 from toucanrudder.prefix import cache_index
-from toucanrudder.prefix import heat
+from toucanrudder.prefix import request_rates
 from toucanrudder.router import background
 from toucanrudder.router import exchanges
 from toucanrudder.router import fleet
@@ -197,7 +197,7 @@
     load_table = loads.LoadTable()
     own = in_flight.InFlightTable()
     believed = cache_index.PrefixCacheIndex()
-    hot = heat.Heat()
+    hot = request_rates.PrefixRates()
     others = peer_loads.PeerLoads(conf.peers.silent_s)
     connect_timeout_s = conf.upstreams.connect_timeout_s
     table = routers.RouterTable(conf.peers.silent_s)
@@ -259,7 +259,7 @@
 def _kept_cache(
     conf: cfg.ConfigOpts,
     sessions: _Sessions,
-    hot: heat.Heat,
+    hot: request_rates.PrefixRates,
     table: routers.RouterTable,
 ) -> kept_cache.KeptCache | None:
     if conf.policy.placement != "toucanrudder":
--- a/toucanrudder/router/fleet.py
+++ b/toucanrudder/router/fleet.py
@@ -10,7 +10,7 @@
 from toucanrudder.placement import policies
 from toucanrudder.placement import types
 from toucanrudder.prefix import cache_index
-from toucanrudder.prefix import heat
+from toucanrudder.prefix import request_rates
 from toucanrudder.upstreams import in_flight
 from toucanrudder.upstreams import loads
 
@@ -30,7 +30,7 @@
         This router's own work.
     believed : cache_index.PrefixCacheIndex
         Where prefixes are believed cached.
-    hot : heat.Heat
+    hot : request_rates.PrefixRates
         Rates of prefixes.
     others : peer_loads.PeerLoads
         Other routers' work.
@@ -44,7 +44,7 @@
         load_table: loads.LoadTable,
         own: in_flight.InFlightTable,
         believed: cache_index.PrefixCacheIndex,
-        hot: heat.Heat,
+        hot: request_rates.PrefixRates,
         others: peer_loads.PeerLoads,
     ):
         self._zone = zone
--- a/toucanrudder/router/peering.py
+++ b/toucanrudder/router/peering.py
@@ -7,7 +7,7 @@
 from toucanrudder.peers import messages
 from toucanrudder.peers import node as nodes
 from toucanrudder.peers import peering as peerings
-from toucanrudder.prefix import heat
+from toucanrudder.prefix import request_rates
 from toucanrudder.router import state as states
 
 #: Longest time for which an answer waits until peers know of a crash.
@@ -44,7 +44,7 @@
 def _sources(state: states.RouterState) -> nodes.Sources:
     def hot(
         peer: str,
-        prefixes: tuple[heat.HotPrefix, ...],
+        prefixes: tuple[request_rates.HotPrefix, ...],
         total_rate_per_s: float,
         now_s: float,
     ) -> None:
--- a/toucanrudder/router/state.py
+++ b/toucanrudder/router/state.py
@@ -27,8 +27,8 @@
 from toucanrudder.peers import loads as peer_loads
 from toucanrudder.placement import types
 from toucanrudder.prefix import cache_index
-from toucanrudder.prefix import heat
 from toucanrudder.prefix import identity
+from toucanrudder.prefix import request_rates
 from toucanrudder.relay import attempt as attempts
 from toucanrudder.router import background
 from toucanrudder.router import exchanges
@@ -89,7 +89,7 @@
     loads: loads.LoadTable
     in_flight: in_flight.InFlightTable
     beliefs: cache_index.PrefixCacheIndex
-    heat: heat.Heat
+    heat: request_rates.PrefixRates
     fleet: fleet.Fleet
     admission: admission.AdmissionQueue
     limiter: admission.RateLimiter
