--- a/toucanrudder/forwarding/poison.py
+++ b/toucanrudder/forwarding/poison.py
@@ -43,7 +43,7 @@
     """
 
     def __init__(self):
-        self.suspicions = quarantine.Suspicions()
+        self.suspicions = quarantine.SuspectTracker()
         self._processes: dict[str, set[tuple[str, str]]] = {}
 
     @property
--- a/toucanrudder/quarantine/__init__.py
+++ b/toucanrudder/quarantine/__init__.py
@@ -4,10 +4,10 @@
 from toucanrudder.quarantine.entry import fingerprint
 from toucanrudder.quarantine.entry import InFlight
 from toucanrudder.quarantine.entry import Kind
-from toucanrudder.quarantine.suspicion import Detail
-from toucanrudder.quarantine.suspicion import Standing
-from toucanrudder.quarantine.suspicion import Suspicions
-from toucanrudder.quarantine.suspicion import Trial
+from toucanrudder.quarantine.suspects import Detail
+from toucanrudder.quarantine.suspects import Standing
+from toucanrudder.quarantine.suspects import SuspectTracker
+from toucanrudder.quarantine.suspects import Trial
 
 __all__ = (
     "Detail",
@@ -15,7 +15,7 @@
     "InFlight",
     "Kind",
     "Standing",
-    "Suspicions",
+    "SuspectTracker",
     "Trial",
     "fingerprint",
 )
--- a/toucanrudder/quarantine/suspicion.py
+++ b/toucanrudder/quarantine/suspects.py
@@ -79,7 +79,7 @@
     until_s: float
 
 
-class Suspicions:
+class SuspectTracker:
     """Entries of this router and, by merging, of all others.
 
     Everything is worked out from the set of entries, so routers that hold
@@ -99,13 +99,13 @@
 
     Examples
     --------
-    >>> suspicions = Suspicions()
+    >>> tracker = SuspectTracker()
     >>> poison, other = entries_.InFlight("p"), entries_.InFlight("o")
-    >>> suspicions.record_crash("e1", "i1", [poison, other], now_s=0.0)
-    >>> suspicions.standing("o", now_s=1.0)
+    >>> tracker.record_crash("e1", "i1", [poison, other], now_s=0.0)
+    >>> tracker.standing("o", now_s=1.0)
     <Standing.SUSPECT: 'suspect'>
     >>> trial = entries_.InFlight("p", isolated=True)
-    >>> suspicions.record_crash("e2", "i2", [trial], now_s=2.0)
+    >>> tracker.record_crash("e2", "i2", [trial], now_s=2.0)
     >>> [suspicions.standing(name, now_s=3.0) for name in "po"]
     [<Standing.QUARANTINED: 'quarantined'>, <Standing.FREE: 'free'>]
     """
--- a/toucanrudder/quarantine/tests/test_suspicion.py
+++ b/toucanrudder/quarantine/tests/test_suspects.py
@@ -6,9 +6,9 @@
 import pytest
 
 from toucanrudder.quarantine import entry
-from toucanrudder.quarantine import suspicion
+from toucanrudder.quarantine import suspects
 
-FREE, SUSPECT, QUARANTINED = suspicion.Standing
+FREE, SUSPECT, QUARANTINED = suspects.Standing
 NOW_S = 100.0
 
 
@@ -73,7 +73,7 @@
 def test_standing_follows_from_the_entries_in_any_order(entries, want):
     orders = list(itertools.permutations(entries))
     for order in orders[:24]:
-        suspicions = suspicion.Suspicions()
+        suspicions = suspects.SuspectTracker()
         for one in order:
             suspicions.merge([one, one], NOW_S)
         got = {name: suspicions.standing(name, NOW_S + 9) for name in want}
@@ -97,7 +97,7 @@
 @hypothesis.settings(derandomize=True, deadline=None)
 @hypothesis.given(ENTRIES, ENTRIES)
 def test_merging_is_commutative_and_idempotent(ours, theirs):
-    a, b = suspicion.Suspicions(), suspicion.Suspicions()
+    a, b = suspects.SuspectTracker(), suspects.SuspectTracker()
     a.merge(ours, NOW_S)
     b.merge(theirs, NOW_S)
     told = a.entries(NOW_S), b.entries(NOW_S)
@@ -111,7 +111,7 @@
 
 
 def test_entries_expire_and_are_bounded():
-    suspicions = suspicion.Suspicions(expiry_s=10.0, max_entries=3)
+    suspicions = suspects.SuspectTracker(expiry_s=10.0, max_entries=3)
     suspicions.merge([crash(f"r{i}", NOW_S + i) for i in range(5)], NOW_S)
     assert [suspicions.standing(f"r{i}", NOW_S) for i in (1, 2)] == [
         FREE,
@@ -123,7 +123,7 @@
 
 
 def test_a_crash_of_an_unknown_process_is_no_second_crash():
-    suspicions = suspicion.Suspicions()
+    suspicions = suspects.SuspectTracker()
     on_trial = entry.InFlight("p", isolated=True)
     suspicions.record_crash("e1", "i1", [on_trial], NOW_S)
     suspicions.record_crash("e1", "", [on_trial], NOW_S)
@@ -146,7 +146,7 @@
     more suspects than engines the rounds keep them apart.
     """
     rng = random.Random(seed)
-    fleet = [suspicion.Suspicions() for _ in range(routers)]
+    fleet = [suspects.SuspectTracker() for _ in range(routers)]
     names = [f"{rng.getrandbits(32):08x}" for _ in range(batch)]
     poison = names[0]
     alive = [f"e{i}" for i in range(engines)]
@@ -200,14 +200,14 @@
     crashes, so the request is quarantined.  Then both processes answer a
     poll: neither crashed, and the request goes free on every router.
     """
-    here, there = suspicion.Suspicions(), suspicion.Suspicions()
+    here, there = suspects.SuspectTracker(), suspects.SuspectTracker()
     here.record_crash("e1", "i1", [entry.InFlight("p")], now_s=0.0)
     trial = entry.InFlight("p", isolated=True)
     here.record_crash("e2", "i2", [trial], now_s=1.0)
     assert here.standing("p", 2.0) is QUARANTINED
     assert here.is_presumed_dead("e1", "i1", 2.0)
     held = here.detail("p", 2.0)
-    assert (held.crashes, held.expires_in_s) == (2, suspicion.EXPIRY_S - 2)
+    assert (held.crashes, held.expires_in_s) == (2, suspects.EXPIRY_S - 2)
     here.record_alive("e1", "i1", 3.0)
     assert here.standing("p", 3.0) is SUSPECT
     here.record_alive("e2", "i2", 4.0)
--- a/toucanrudder/router/assembly.py
+++ b/toucanrudder/router/assembly.py
@@ -246,7 +246,7 @@
             ),
             rng=rng,
         ),
-        suspicions=quarantine.Suspicions(),
+        suspicions=quarantine.SuspectTracker(),
         exchanges=exchanges.OpenExchanges(states.RouterState.now_s),
         background=background.Background(),
         routers=table,
--- a/toucanrudder/router/state.py
+++ b/toucanrudder/router/state.py
@@ -94,7 +94,7 @@
     admission: admission.AdmissionQueue
     limiter: admission.RateLimiter
     claims: claims.ClaimKeeper
-    suspicions: quarantine.Suspicions
+    suspicions: quarantine.SuspectTracker
     exchanges: exchanges.OpenExchanges
     background: background.Background
     routers: routers.RouterTable
