--- a/toucanrudder/filters/model_call.py
+++ b/toucanrudder/filters/model_call.py
@@ -197,7 +197,7 @@
     def _decide(self, failure: failures.UpstreamFailure):
         exchange = self.exchange
         state = exchange.state
-        answer = retries.Answer(
+        answer = retries.AnswerState(
             repeatable=True,
             sent_events=self.order.last,
             can_continue=(
--- a/toucanrudder/retries/__init__.py
+++ b/toucanrudder/retries/__init__.py
@@ -1,7 +1,7 @@
 """Whether a failed try is worth another."""
 
 from toucanrudder.retries.budget import RetryBudget
-from toucanrudder.retries.decision import Answer
+from toucanrudder.retries.decision import AnswerState
 from toucanrudder.retries.decision import Continue
 from toucanrudder.retries.decision import decide
 from toucanrudder.retries.decision import Failure
@@ -9,7 +9,7 @@
 from toucanrudder.retries.decision import Retry
 
 __all__ = (
-    "Answer",
+    "AnswerState",
     "Continue",
     "Failure",
     "Refuse",
--- a/toucanrudder/retries/decision.py
+++ b/toucanrudder/retries/decision.py
@@ -49,7 +49,7 @@
 
 
 @attrs.frozen
-class Answer:
+class AnswerState:
     """What the caller has been sent so far, and may still be sent.
 
     Parameters
@@ -117,7 +117,7 @@
 
 def decide(
     failure: Failure,
-    answer: Answer,
+    answer: AnswerState,
     *,
     tries: int,
     max_tries: int,
@@ -132,7 +132,7 @@
     ----------
     failure : Failure
         How the try failed.
-    answer : Answer
+    answer : AnswerState
         State of the answer, and whether the request may be repeated.
     tries : int
         Tries made, the failed one included.
@@ -189,7 +189,7 @@
     return Retry(wait_s)
 
 
-def _ran(failure: Failure, answer: Answer) -> codes.Ran:
+def _ran(failure: Failure, answer: AnswerState) -> codes.Ran:
     if failure.not_run and not answer.may_have_run and not answer.sent_events:
         return codes.Ran.NOT_RUN
     return codes.Ran.UNKNOWN
--- a/toucanrudder/retries/tests/test_decision.py
+++ b/toucanrudder/retries/tests/test_decision.py
@@ -7,12 +7,12 @@
 from toucanrudder.retries import decision
 
 F, NOT_RUN, UNKNOWN = retries.Failure, codes.Ran.NOT_RUN, codes.Ran.UNKNOWN
-ONCE = retries.Answer(repeatable=False)
-AGAIN = retries.Answer(repeatable=True)
-PARTLY = retries.Answer(repeatable=True, sent_events=3, can_continue=True)
-STUCK = retries.Answer(repeatable=True, sent_events=3)
-DOUBTFUL = retries.Answer(repeatable=False, may_have_run=True)
-DOUBTFUL_AGAIN = retries.Answer(repeatable=True, may_have_run=True)
+ONCE = retries.AnswerState(repeatable=False)
+AGAIN = retries.AnswerState(repeatable=True)
+PARTLY = retries.AnswerState(repeatable=True, sent_events=3, can_continue=True)
+STUCK = retries.AnswerState(repeatable=True, sent_events=3)
+DOUBTFUL = retries.AnswerState(repeatable=False, may_have_run=True)
+DOUBTFUL_AGAIN = retries.AnswerState(repeatable=True, may_have_run=True)
 
 TABLE = [
     # failure, answer, tries, deadline_s, retries left, want
