--- a/toucanrudder/quarantine/suspects.py
+++ b/toucanrudder/quarantine/suspects.py
@@ -106,7 +106,7 @@
     <Standing.SUSPECT: 'suspect'>
     >>> trial = entries_.InFlight("p", isolated=True)
     >>> tracker.record_crash("e2", "i2", [trial], now_s=2.0)
-    >>> [suspicions.standing(name, now_s=3.0) for name in "po"]
+    >>> [tracker.standing(name, now_s=3.0) for name in "po"]
     [<Standing.QUARANTINED: 'quarantined'>, <Standing.FREE: 'free'>]
     """
 
