--- a/toucanrudder/store/__init__.py
+++ b/toucanrudder/store/__init__.py
@@ -1,4 +1,4 @@
-"""Access to the platform's object API."""
+"""Access to the object API of the platform."""
 
 from toucanrudder.store.interface import ObjectStore
 from toucanrudder.store.interface import StoredObject
--- a/toucanrudder/store/continuity.py
+++ b/toucanrudder/store/continuity.py
@@ -1,35 +1,35 @@
-"""Time in which a store is known to have served calls without a long gap.
+"""Time span in which a store is known to have answered calls without a gap.
 
-Counted is when a call was sent that was answered: a watch may be answered
-while new calls are refused.
+A call counts at the time it was sent, not at the time of its response,
+since a watch may still be answered while new calls are refused.
 """
 
 import attrs
 
-#: Seconds without a served call in which no entry runs out that is renewed:
-#: an outage must cover two of the three renewals that an entry lasts.
+#: Seconds without an answered call in which no renewed entry expires: an
+#: entry lasts three renewals, and an outage would have to cover two of them.
 LONGEST_GAP_S = 2.25
 
-#: Longest waits of the watches of the routers that show that the store
-#: serves calls.  They differ, as a change ends all watches at one time.
+#: Longest waits of the watches of the routers whose calls show that the
+#: store is available.  They differ because a change ends all watches at once.
 WATCH_WAITS_S = (1.4, 1.7, 2.0)
 
 
 @attrs.frozen
 class Span:
-    """A time in which a store served some router or other.
+    """Time span in which a store answered calls of any router.
 
     Parameters
     ----------
     since_s, until_s : float
-        Monotonic times of the first and the last call.
+        Monotonic times of the first and the last answered call.
     """
 
     since_s: float
     until_s: float
 
     def merged(self, other: "Span | None") -> "Span":
-        """Return both as one, or the later of them if a long gap is between.
+        """Return the union of both; the later one if a long gap is between.
 
         Examples
         --------
@@ -40,7 +40,7 @@
         """
         if other is None:
             return self
-        earlier, later = sorted((self, other), key=lambda each: each.since_s)
+        earlier, later = sorted((self, other), key=lambda span: span.since_s)
         if later.since_s - earlier.until_s > LONGEST_GAP_S:
             return later
         until_s = max(earlier.until_s, later.until_s)
--- a/toucanrudder/store/eras.py
+++ b/toucanrudder/store/eras.py
@@ -1,4 +1,4 @@
-"""Which era of its history a store answers from."""
+"""Eras of a store: the count of its restorations from an older copy."""
 
 import attrs
 
@@ -6,21 +6,23 @@
 from toucanrudder.observability import metrics
 from toucanrudder.store import interface
 
-#: Most digits of an era that is read.
+#: Largest number of digits accepted for an era.
 MAX_DIGITS = 18
 
 
 @attrs.define
 class EraGuard:
-    """Refuses answers from before the newest restoration that was seen.
+    """Rejects responses from before the newest known restoration.
 
-    Such an answer was late: what it says may have been lost, and its
-    revisions have been given out again.
+    Such a response is late: its content may have been lost, and its
+    revisions have been issued again.
 
     Parameters
     ----------
     source : str
-        Whose answers, for the log.
+        Origin of the responses, for the log.
+    newest : int
+        Newest known era; 0 if none is known.
 
     Examples
     --------
@@ -36,39 +38,39 @@
     source: str
     newest: int = 0
 
-    def check(self, said: bytes | None) -> int:
-        """Return the era of an answer; 0 from a store that tells none.
+    def check(self, header: bytes | None) -> int:
+        """Return the era of a response; 0 from a store without eras.
 
         Raises
         ------
         MalformedObject
-            It is no number, is missing, or was superseded.
+            The era is not a number, is missing, or was superseded.
         """
-        era = self._read(said)
+        era = self._parse(header)
         if era < self.newest:
-            raise self._strange(f"era {era} after {self.newest}")
+            raise self._malformed(f"era {era} after {self.newest}")
         if era > self.newest:
             self._advance(era)
         return era
 
-    def _read(self, said: bytes | None) -> int:
-        if not said:
+    def _parse(self, header: bytes | None) -> int:
+        if not header:
             if self.newest:
-                raise self._strange("no era")
+                raise self._malformed("era is missing")
             return 0
-        if not said.isdigit() or len(said) > MAX_DIGITS:
-            raise self._strange("the era is no number")
-        return int(said)
+        if not header.isdigit() or len(header) > MAX_DIGITS:
+            raise self._malformed("era is not a number")
+        return int(header)
 
     def _advance(self, era: int) -> None:
-        before, self.newest = self.newest, era
-        if not before:
+        previous, self.newest = self.newest, era
+        if not previous:
             return
         metrics.counter(
             "toucanrudder_store_restorations",
             "Restorations of the store from an older copy that were seen",
         ).add(1)
-        decisions.record(decisions.StoreRestored(era=era, previous=before))
+        decisions.record(decisions.StoreRestored(era=era, previous=previous))
 
-    def _strange(self, reason: str) -> interface.MalformedObject:
+    def _malformed(self, reason: str) -> interface.MalformedObject:
         return interface.MalformedObject(self.source, reason)
--- a/toucanrudder/store/fanout.py
+++ b/toucanrudder/store/fanout.py
@@ -1,9 +1,9 @@
-"""Changes of a kind that few routers read and tell to all others.
+"""Fan-out of changes from a few routers that read the store to all others.
 
-In a large fleet each router's own watch would cost the store one call for
-each change and router.  A few routers read; the others ask one of these,
-by the store's own positions, so that any of them, and the store itself,
-can go on where another has stopped.
+In a large fleet a watch by each router would cost the store one call per
+change and router.  A few routers, the readers, watch the store; the others,
+the followers, ask one of them.  They use the store's own positions, so that
+a follower can continue at any other reader, or at the store.
 """
 
 import asyncio
@@ -19,42 +19,42 @@
 from toucanrudder.placement import rendezvous
 from toucanrudder.store import feed
 
-#: Routers from which on changes are fanned out.  Below, readers and
-#: followers would be almost the same.
+#: Number of routers from which on changes are fanned out.  In smaller fleets
+#: there would be hardly more followers than readers.
 FANOUT_MIN_ROUTERS = 12
 
-#: Routers that read: one or two may be cut off from the store and one
-#: may be stopping, while the rest still tell all others.
+#: Number of readers: one or two may be cut off from the store and one may be
+#: stopping, while the rest still serve all followers.
 READERS = 6
 
-#: How long a reader's own watch waits at the store.  It bounds how old a
-#: reader's word can be without that showing.
+#: Longest wait of a reader's own watch at the store, in seconds.  It bounds
+#: how stale a reader can become unnoticed.
 READER_WAIT_S = 1.0
 
-#: Age of a reader's last answer from the store beyond which its word is
-#: not taken: its watch wait, and half a second for a slow answer.
+#: Age of a reader's last response from the store beyond which its reply is
+#: rejected: its watch wait, and half a second for a slow response.
 MAX_AGE_S = 1.6
 
-#: How long a question waits at a reader, and for its answer in all.
+#: Longest wait of a follower's request at a reader, and deadline of the reply.
 ASK_WAIT_S = 0.8
 ASK_DEADLINE_S = 1.2
 
-#: Pause between two looks at whether the routers are known.
-SETTLE_LOOK_S = 0.1
+#: Interval between two checks whether the membership is known.
+MEMBERSHIP_POLL_S = 0.1
 
-#: For how long a reader that gave no good answer is not asked again.
-SHUN_S = 3.0
+#: Seconds for which a reader is not asked again after an unusable reply.
+READER_BACKOFF_S = 3.0
 
-#: Changes that are remembered; whoever is further behind asks the store.
+#: Number of changes kept; a follower that is further behind asks the store.
 MAX_CHANGES = 4096
 
-#: Where a router is that has read nothing yet.
-START = feed.Position(era=0, revision=0)
+#: Position of a router that has not read anything yet.
+INITIAL_POSITION = feed.Position(era=0, revision=0)
 
 
 @attrs.frozen
 class Reader:
-    """A router that reads from the store."""
+    """Router that reads from the store."""
 
     name: str
     address: str
@@ -62,14 +62,14 @@
 
 @attrs.frozen
 class ReaderReply:
-    """What a reader tells of a kind.
+    """Reply of a reader about one kind of objects.
 
     Parameters
     ----------
     changes : feed.Changes or None
-        What is new; None if the reader does not know that far back.
+        New changes; None if the reader's log does not reach back far enough.
     age_s : float
-        Time since the store last answered the reader.
+        Seconds since the store last answered the reader.
     """
 
     changes: feed.Changes | None
@@ -77,12 +77,12 @@
 
 
 def uses_fanout(routers: int) -> bool:
-    """Say whether so many routers fan changes out."""
+    """Return whether a fleet of this size fans changes out."""
     return routers >= FANOUT_MIN_ROUTERS
 
 
 def select_readers(names: Iterable[str]) -> list[str]:
-    """Return the routers that read from the store, of all that live.
+    """Return those of the live routers that read from the store.
 
     Examples
     --------
@@ -98,13 +98,13 @@
 
 
 class ChangeLog:
-    """The newest changes that this router has read of a kind.
+    """Newest changes of one kind that this router has read.
 
     Attributes
     ----------
     last_answered_sent_s : float or None
-        When the newest call was sent that the store answered; None if
-        there is none yet.
+        Monotonic time at which the newest call that the store answered was
+        sent; None if there is none yet.
 
     Examples
     --------
@@ -119,95 +119,97 @@
 
     def __init__(self):
         self._first: feed.Position | None = None
-        self._position = START
+        self._position = INITIAL_POSITION
         self._changes: collections.deque[tuple[feed.Position, feed.Change]] = (
             collections.deque()
         )
         self._read_at_s = float("-inf")
-        self._news = asyncio.Event()
+        self._moved = asyncio.Event()
         self.last_answered_sent_s: float | None = None
 
-    def reset(self, found: feed.Snapshot, now_s: float) -> None:
-        """Begin anew with a whole list."""
+    def reset(self, snapshot: feed.Snapshot, now_s: float) -> None:
+        """Start anew from a snapshot."""
         self._changes.clear()
-        self._first = found.position
-        self._note(found.position, now_s)
+        self._first = snapshot.position
+        self._advance(snapshot.position, now_s)
 
     def append(
-        self, position: feed.Position, found: feed.Changes, now_s: float
+        self, position: feed.Position, read: feed.Changes, now_s: float
     ) -> None:
-        """Take in what came after a position."""
+        """Add the changes that were read after a position."""
         if self._first is None or self._position != position:
             self._changes.clear()
             self._first = position
-        self._changes.extend((found.position, each) for each in found.changes)
+        self._changes.extend((read.position, each) for each in read.changes)
         while len(self._changes) > MAX_CHANGES:
             self._first = self._changes.popleft()[0]
-        self._note(found.position, now_s)
+        self._advance(read.position, now_s)
 
-    def _note(self, position: feed.Position, now_s: float) -> None:
-        is_news = position != self._position
+    def _advance(self, position: feed.Position, now_s: float) -> None:
+        has_moved = position != self._position
         self._position, self._read_at_s = position, now_s
-        if is_news:
-            self._news.set()
-            self._news = asyncio.Event()
+        if has_moved:
+            self._moved.set()
+            self._moved = asyncio.Event()
 
     def age_s(self, now_s: float) -> float:
-        """Return the time since the store has answered."""
+        """Return the seconds since the store last answered."""
         return now_s - self._read_at_s
 
     def changes_since(self, position: feed.Position) -> feed.Changes | None:
-        """Return what came after the position; None if it is not known.
+        """Return the changes after the position; None if they are unknown.
 
-        A change counts as new until all that was read together with it is
-        known: to take one in twice, in order, does no harm.
+        All changes of one read carry its final position, so a follower in
+        the middle of them gets some again.  Applying changes twice, in
+        order, does no harm.
         """
         if self._first is None or position < self._first:
             return None
         if position.era != self._position.era:
             return None
         changes = tuple(
-            change for upto, change in self._changes if upto > position
+            change for read_to, change in self._changes if read_to > position
         )
         return feed.Changes(changes, max(position, self._position))
 
     async def wait(self, position: feed.Position, wait_s: float) -> None:
-        """Wait until something after the position is known.
+        """Wait until a change after the position is known.
 
-        A question from another era is not waited for: its answer is that
-        all must be read anew.
+        A request from another era does not wait: its reply is that the
+        follower needs a new snapshot.
         """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
                 while self._position <= position and (
                     position.era == self._position.era
-                    or self._position == START
+                    or self._position == INITIAL_POSITION
                 ):
-                    await self._news.wait()
+                    await self._moved.wait()
 
 
 class FanoutFeed(feed.KindFeed):
-    """A feed that asks the store, or a router that has asked it.
+    """Feed that reads from the store, or from a router that reads from it.
 
     Parameters
     ----------
     store : feed.KindFeed
-        Where the objects are.
+        Store of the objects.
     log : ChangeLog
-        What this router reads itself, for others.
+        Log of what this router reads itself, for its followers.
     is_reader : callable
-        Whether this router reads from the store.
+        Returns whether this router reads from the store.
     has_followers : callable
-        Whether others ask this router instead of the store.
+        Returns whether others ask this router instead of the store.
     choose_reader : callable
-        Given the names of readers not to ask, returns another, or None.
+        Takes the names of readers not to ask; returns a reader, or None.
     ask_reader : callable
-        Asks a reader for the changes of a kind after a position, for as
-        long as it is given; None if there was no answer.
+        Takes a reader, a kind, a position and the longest wait in seconds;
+        returns the reader's reply, or None if there was none.
     clock : callable
         Monotonic time in seconds.
     is_membership_known : callable
-        Whether the routers are known, so that all agree on who reads.
+        Returns whether the fleet's members are known, so that all routers
+        agree on the readers.
     """
 
     def __init__(
@@ -232,55 +234,59 @@
         self._choose_reader = choose_reader
         self._ask_reader = ask_reader
         self._clock = clock
-        self._shunned_until_s: dict[str, float] = {}
+        self._backoff_until_s: dict[str, float] = {}
 
     async def snapshot(self, kind: str, *, timeout_s: float) -> feed.Snapshot:
         """Return all objects of the kind."""
         sent_s = self._clock()
-        found = await self._store.snapshot(kind, timeout_s=timeout_s)
+        snapshot = await self._store.snapshot(kind, timeout_s=timeout_s)
         self._log.last_answered_sent_s = sent_s
-        self._log.reset(found, self._clock())
-        return found
+        self._log.reset(snapshot, self._clock())
+        return snapshot
 
     async def changes(
         self, kind: str, position: feed.Position, *, wait_s: float
     ) -> feed.Changes:
-        """Wait for changes after the position; none if `wait_s` passed."""
-        await self._settled()
+        """Wait for changes after the position; none after `wait_s` seconds."""
+        await self._wait_for_membership()
         if not self._is_reader():
-            told = await self._told(kind, position, min(wait_s, ASK_WAIT_S))
-            if told is not None:
-                return told
+            changes = await self._changes_from_reader(
+                kind, position, min(wait_s, ASK_WAIT_S)
+            )
+            if changes is not None:
+                return changes
         if self._has_followers():
             wait_s = min(wait_s, READER_WAIT_S)
         sent_s = self._clock()
-        found = await self._store.changes(kind, position, wait_s=wait_s)
+        read = await self._store.changes(kind, position, wait_s=wait_s)
         self._log.last_answered_sent_s = sent_s
-        self._log.append(position, found, self._clock())
-        return found
+        self._log.append(position, read, self._clock())
+        return read
 
-    async def _settled(self) -> None:
+    async def _wait_for_membership(self) -> None:
         while True:
             if self._is_membership_known():
                 return
-            await asyncio.sleep(SETTLE_LOOK_S)
+            await asyncio.sleep(MEMBERSHIP_POLL_S)
 
-    async def _told(
+    async def _changes_from_reader(
         self, kind: str, position: feed.Position, wait_s: float
     ) -> feed.Changes | None:
-        """Return what a reader tells; None if the store is to be asked."""
+        """Return a reader's changes; None if the store must be asked."""
         now_s = self._clock()
-        self._shunned_until_s = {
+        self._backoff_until_s = {
             name: until_s
-            for name, until_s in self._shunned_until_s.items()
+            for name, until_s in self._backoff_until_s.items()
             if until_s > now_s
         }
-        reader = self._choose_reader(set(self._shunned_until_s))
+        reader = self._choose_reader(set(self._backoff_until_s))
         if reader is None:
             return None
-        told = await self._ask_reader(reader, kind, position, wait_s)
-        is_good = told is not None and told.age_s <= MAX_AGE_S
-        if not is_good or told.changes is None:
-            self._shunned_until_s[reader.name] = self._clock() + SHUN_S
+        reply = await self._ask_reader(reader, kind, position, wait_s)
+        is_fresh = reply is not None and reply.age_s <= MAX_AGE_S
+        if not is_fresh or reply.changes is None:
+            self._backoff_until_s[reader.name] = (
+                self._clock() + READER_BACKOFF_S
+            )
             return None
-        return told.changes
+        return reply.changes
--- a/toucanrudder/store/feed.py
+++ b/toucanrudder/store/feed.py
@@ -1,4 +1,4 @@
-"""Objects of one kind as a list and the changes to it."""
+"""Watching the objects of one kind: a snapshot and the changes after it."""
 
 import abc
 
@@ -8,22 +8,22 @@
 
 
 class HistoryGone(Exception):
-    """The store no longer knows what changed since that position."""
+    """The store no longer has the changes after the requested position."""
 
 
 @attrs.frozen(order=True)
 class Position:
-    """A place in the history of a store.
+    """Position in the history of a store.
 
-    A store that was restored from an older copy gives revisions out again,
-    so a revision alone orders nothing.
+    A store that was restored from an older copy issues revisions again, so
+    positions cannot be ordered by their revision alone.
 
     Parameters
     ----------
     era : int
-        Rises each time the store is restored; 0 if it is not told.
+        Increases each time the store is restored; 0 if it is unknown.
     revision : int
-        Rises with each change within an era.
+        Increases with each change within an era.
 
     Examples
     --------
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class Snapshot:
-    """All objects of a kind at one position of the store."""
+    """All objects of a kind, at one position of the store."""
 
     objects: tuple[interface.StoredObject, ...]
     position: Position
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class Change:
-    """An object that was written or deleted."""
+    """Object that was written or deleted."""
 
     object: interface.StoredObject
     is_deleted: bool = False
@@ -53,16 +53,16 @@
 
 @attrs.frozen
 class Changes:
-    """What changed up to a position, in order."""
+    """Changes up to a position, in order."""
 
     changes: tuple[Change, ...]
     position: Position
 
 
 class KindFeed(abc.ABC):
-    """A store that tells the changes of a whole kind.
+    """Source of all objects of a kind and of the changes to them.
 
-    Calls raise `interface.StoreUnavailable` when no answer came in time.
+    Calls raise `interface.StoreUnavailable` if no response comes in time.
     """
 
     @abc.abstractmethod
@@ -73,10 +73,10 @@
     async def changes(
         self, kind: str, position: Position, *, wait_s: float
     ) -> Changes:
-        """Wait for changes after the position; none if `wait_s` passed.
+        """Wait for changes after the position; none after `wait_s` seconds.
 
         Raises
         ------
         HistoryGone
-            A new snapshot is needed: also if the store is in another era.
+            A new snapshot is needed, also because the era has changed.
         """
--- a/toucanrudder/store/http.py
+++ b/toucanrudder/store/http.py
@@ -12,7 +12,7 @@
 
 WATCH_MARGIN_S = 2.0
 
-_REFUSED = (
+_REJECTED = (
     http.HTTPStatus.TOO_MANY_REQUESTS,
     http.HTTPStatus.SERVICE_UNAVAILABLE,
 )
@@ -28,10 +28,10 @@
 
 
 async def _send_once(request, handler):
-    # aiohttp repeats a PUT or DELETE by itself when a kept connection
-    # breaks.  If the first one took effect, the repetition's failed
-    # condition would read as "no effect".  An exception that aiohttp does
-    # not know ends the call after one sending.
+    # aiohttp retries a PUT or DELETE by itself when a kept-alive connection
+    # breaks.  If the first request took effect, the failed condition of the
+    # retry would read as "no effect".  An exception that aiohttp does not
+    # know ends the call after the first request.
     try:
         return await handler(request)
     except _NEVER_SENT as error:
@@ -43,21 +43,22 @@
 
 
 class HttpObjectStore(interface.ObjectStore):
-    """Objects of the platform.
+    """Store of objects behind the object API of the platform.
 
     Parameters
     ----------
     address : str
         ``IP:port`` of the object API.
     session : aiohttp.ClientSession
-        Session whose connections are used; the caller closes it.
+        Session for reads; the caller closes it.
     fresh_session : aiohttp.ClientSession
-        The same with a connector that uses each connection once.
+        Session for writes, whose connector uses each connection once; the
+        caller closes it.
 
     Attributes
     ----------
     counts : collections.Counter
-        Calls made so far, by ``(kind of object, operation)``.
+        Number of calls, by ``(kind of object, operation)``.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
         self.counts: collections.Counter = collections.Counter()
         self._base = f"http://{address}/objects"
         self._session = session
-        self._fresh = fresh_session
+        self._fresh_session = fresh_session
 
     def _url(self, kind: str, name: str = "") -> str:
         url = f"{self._base}/{urllib.parse.quote(kind, safe='')}"
@@ -107,7 +108,7 @@
         except _NEVER_SENT as error:
             raise interface.StoreUnavailable(str(error)) from error
         except (aiohttp.ClientError, OSError, ValueError) as error:
-            # TimeoutError is an OSError.
+            # Includes TimeoutError, which is an OSError.
             raise interface.OutcomeUnknown(
                 f"{type(error).__name__}: {error}"
             ) from error
@@ -124,27 +125,28 @@
         if status >= http.HTTPStatus.BAD_REQUEST and (
             status != http.HTTPStatus.NOT_FOUND
         ):
-            raise interface.StoreUnavailable(f"answered {status}")
+            raise interface.StoreUnavailable(f"HTTP status {status}")
         return status, body
 
     async def _write(
         self, method: str, url: str, timeout_s: float, **options
     ) -> dict:
-        # An answer names no request.  On a kept connection the second copy
-        # of an earlier one would prove a write that never took effect.
+        # A response does not name its request.  On a kept-alive connection a
+        # duplicate of an earlier response could confirm a write that never
+        # took effect.
         status, body = await self._call(
-            self._fresh, method, url, timeout_s, **options
+            self._fresh_session, method, url, timeout_s, **options
         )
         if status < http.HTTPStatus.BAD_REQUEST:
             return body
         if status in _CONDITION_FAILED:
-            raise interface.ConditionFailed(f"answered {status}")
+            raise interface.ConditionFailed(f"HTTP status {status}")
         if (
-            status in _REFUSED
+            status in _REJECTED
             or status < http.HTTPStatus.INTERNAL_SERVER_ERROR
         ):
-            raise interface.StoreUnavailable(f"answered {status}")
-        raise interface.OutcomeUnknown(f"answered {status}")
+            raise interface.StoreUnavailable(f"HTTP status {status}")
+        raise interface.OutcomeUnknown(f"HTTP status {status}")
 
     async def get(
         self, kind: str, name: str, *, timeout_s: float
@@ -228,15 +230,15 @@
         *,
         wait_s: float,
     ) -> interface.StoredObject | None:
-        """Wait until the version differs; None if `wait_s` passed first.
+        """Wait until the version differs; None after `wait_s` seconds.
 
         A deleted object is not distinguished from an unchanged one.
         """
         self._count(kind, "watch")
-        # Something between the ends may have lost the connection: then
-        # no answer ever comes, which looks like "no change".  The store
-        # answers after wait_s at the latest, so more silence than that
-        # and a margin means a dead path.
+        # If a device between both ends has dropped the connection, no
+        # response ever comes, which looks like "no change".  The store
+        # responds after wait_s at the latest, so no response within wait_s
+        # and a margin means a broken connection.
         status, body = await self._read(
             self._url(kind, name),
             wait_s + WATCH_MARGIN_S,
@@ -252,14 +254,14 @@
         return {}
     body = json.loads(text)
     if not isinstance(body, dict):
-        raise ValueError("the answer is not an object")
+        raise ValueError("response is not a JSON object")
     return body
 
 
 def _version(body: dict) -> int:
     version = body.get("version")
     if not isinstance(version, int):
-        raise interface.OutcomeUnknown("the answer holds no version")
+        raise interface.OutcomeUnknown("response has no version")
     return version
 
 
@@ -269,4 +271,6 @@
             kind, str(body["name"]), int(body["version"]), dict(body["value"])
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise interface.StoreUnavailable(f"bad answer: {error!r}") from error
+        raise interface.StoreUnavailable(
+            f"malformed response: {error!r}"
+        ) from error
--- a/toucanrudder/store/interface.py
+++ b/toucanrudder/store/interface.py
@@ -1,4 +1,4 @@
-"""What the router needs from an object store, whoever provides it."""
+"""Interface of the object stores that the router uses."""
 
 import abc
 
@@ -7,9 +7,9 @@
 
 @attrs.frozen
 class StoredObject:
-    """An object as it was read; `version` is what updates depend on.
+    """Object as read; conditional updates name its `version`.
 
-    Its value is whatever somebody wrote, of any type.
+    Its value is unchecked and may be of any type.
     """
 
     kind: str
@@ -19,14 +19,14 @@
 
 
 class MalformedObject(Exception):
-    """An object, or a word of an upstream, is not what it should be.
+    """An object, or a value sent by an upstream, is malformed.
 
     Parameters
     ----------
     source : str
-        Where it comes from.
+        Origin of the value.
     reason : str
-        What is wrong with it.
+        Why it is malformed.
     """
 
     def __init__(self, source: str, reason: str):
@@ -36,31 +36,31 @@
 
 
 class ConditionFailed(Exception):
-    """The write had no effect: the object is not as the caller assumed."""
+    """The write had no effect: the object is not in the assumed state."""
 
 
 class StoreUnavailable(Exception):
-    """The call failed, and it had no effect for certain."""
+    """The call failed and certainly had no effect."""
 
 
 class OutcomeUnknown(Exception):
-    """No answer came; the write may or may not have taken effect."""
+    """No response came; the write may or may not have taken effect."""
 
 
 class ConditionalStore(abc.ABC):
-    """Versioned objects with conditional writes.
+    """Store of versioned objects with conditional writes.
 
     Reads raise `StoreUnavailable`.  Writes raise `ConditionFailed`,
     `StoreUnavailable` (certainly no effect) or `OutcomeUnknown`.  Every
-    call ends within the `timeout_s` it was given.
+    call ends within its `timeout_s`.
     """
 
     @property
     def era(self) -> int:
-        """Era of the newest answer; 0 from a store that tells none.
+        """Era of the newest response; 0 from a store without eras.
 
-        It rises each time the store is restored from an older copy, and
-        versions are then given out again.
+        It increases each time the store is restored from an older copy;
+        versions are then issued again.
         """
         return 0
 
@@ -96,7 +96,7 @@
 
 
 class ObjectStore(ConditionalStore):
-    """A store that lists and watches objects as well."""
+    """Store that can also list and watch objects."""
 
     @abc.abstractmethod
     async def list(
@@ -119,8 +119,8 @@
         *,
         wait_s: float,
     ) -> StoredObject | None:
-        """Wait until the version differs; None if `wait_s` passed first.
+        """Wait until the version differs; None after `wait_s` seconds.
 
-        Ends with `StoreUnavailable` when the store stays silent for longer
-        than `wait_s` and a margin: a silent watch looks like "no change".
+        Raises `StoreUnavailable` if no response comes within `wait_s` and a
+        margin: a watch without response would look like "no change".
         """
--- a/toucanrudder/store/memory.py
+++ b/toucanrudder/store/memory.py
@@ -1,4 +1,4 @@
-"""Objects in this process's memory, with faults, for unit tests."""
+"""In-memory object store with injected faults, for unit tests."""
 
 import asyncio
 import collections
@@ -11,18 +11,18 @@
 
 @attrs.define
 class Faults:
-    """What goes wrong next.
+    """Injected faults.
 
     Parameters
     ----------
     down : bool
         Every call fails without effect.
     lose_answers : int
-        Writes that take effect and whose answers are lost.
+        Number of next writes that take effect and lose their response.
     drop_writes : int
-        Writes that are lost on the way: no effect, and no answer.
+        Number of next writes that are lost, with no effect and no response.
     hang_watches : bool
-        Watches stay silent until their caller gives them up.
+        Watches get no response until their caller gives up.
     """
 
     down: bool = False
@@ -32,14 +32,14 @@
 
 
 class MemoryObjectStore(interface.ObjectStore):
-    """Objects in a dictionary, as several routers of one test see them.
+    """Object store in a dictionary, shared by the routers of a test.
 
     Attributes
     ----------
     faults : Faults
-        Faults in force.
+        Injected faults.
     counts : collections.Counter
-        Calls made so far, by ``(kind of object, operation)``.
+        Number of calls, by ``(kind of object, operation)``.
 
     Examples
     --------
@@ -59,19 +59,19 @@
         self._changed = asyncio.Event()
 
     def snapshot(self) -> dict:
-        """Return the present state, for `restore`."""
+        """Return the current state, for `restore`."""
         return dict(self._objects)
 
     def restore(self, snapshot: dict) -> None:
-        """Come back in an older state."""
+        """Return to an older state."""
         self._objects = dict(snapshot)
-        self._announce()
+        self._notify_watches()
 
-    def _announce(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _begin(self, kind: str, operation: str) -> None:
+    def _start_call(self, kind: str, operation: str) -> None:
         self.counts[kind, operation] += 1
         if self.faults.down:
             raise interface.StoreUnavailable("down")
@@ -82,8 +82,8 @@
         if self.faults.drop_writes > 0:
             self.faults.drop_writes -= 1
             raise interface.OutcomeUnknown("write lost")
-        present = self._objects.get((kind, name))
-        if (present.version if present else None) != version:
+        current = self._objects.get((kind, name))
+        if (current.version if current else None) != version:
             raise interface.ConditionFailed(f"{kind}/{name}")
         self._version += 1
         if value is None:
@@ -92,24 +92,24 @@
             self._objects[kind, name] = interface.StoredObject(
                 kind, name, self._version, copy.deepcopy(value)
             )
-        self._announce()
+        self._notify_watches()
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            raise interface.OutcomeUnknown("answer lost")
+            raise interface.OutcomeUnknown("response lost")
         return self._version
 
     async def get(
         self, kind: str, name: str, *, timeout_s: float
     ) -> interface.StoredObject | None:
         """Return the object, or None when there is none."""
-        self._begin(kind, "get")
+        self._start_call(kind, "get")
         return copy.deepcopy(self._objects.get((kind, name)))
 
     async def create(
         self, kind: str, name: str, value: dict, *, timeout_s: float
     ) -> int:
         """Create the object if there is none; return its version."""
-        self._begin(kind, "create")
+        self._start_call(kind, "create")
         return self._write(kind, name, value, None)
 
     async def update(
@@ -122,14 +122,14 @@
         timeout_s: float,
     ) -> int:
         """Replace the object if it has `version`; return the new one."""
-        self._begin(kind, "update")
+        self._start_call(kind, "update")
         return self._write(kind, name, value, version)
 
     async def delete(
         self, kind: str, name: str, version: int, *, timeout_s: float
     ) -> None:
         """Delete the object if it has `version`."""
-        self._begin(kind, "delete")
+        self._start_call(kind, "delete")
         self._write(kind, name, None, version)
 
     async def list(
@@ -142,11 +142,11 @@
         timeout_s: float,
     ) -> list[interface.StoredObject]:
         """Return up to `limit` objects by name, after the name `after`."""
-        self._begin(kind, "list")
+        self._start_call(kind, "list")
         names = sorted(
             name
-            for of_kind, name in self._objects
-            if of_kind == kind and name.startswith(prefix) and name > after
+            for stored_kind, name in self._objects
+            if stored_kind == kind and name.startswith(prefix) and name > after
         )
         return [
             copy.deepcopy(self._objects[kind, name]) for name in names[:limit]
@@ -160,19 +160,19 @@
         *,
         wait_s: float,
     ) -> interface.StoredObject | None:
-        """Wait until the version differs; None if `wait_s` passed first."""
-        self._begin(kind, "watch")
+        """Wait until the version differs; None after `wait_s` seconds."""
+        self._start_call(kind, "watch")
         if self.faults.hang_watches:
             await asyncio.sleep(wait_s)
-            raise interface.StoreUnavailable("watch stayed silent")
+            raise interface.StoreUnavailable("no response to the watch")
         try:
             async with asyncio.timeout(wait_s):
                 while True:
                     changed = self._changed
-                    present = self._objects.get((kind, name))
-                    if present is not None and present.version != version:
-                        return copy.deepcopy(present)
-                    if present is None and version:
+                    current = self._objects.get((kind, name))
+                    if current is not None and current.version != version:
+                        return copy.deepcopy(current)
+                    if current is None and version:
                         return None
                     await changed.wait()
         except TimeoutError:
--- a/toucanrudder/store/rest.py
+++ b/toucanrudder/store/rest.py
@@ -1,7 +1,7 @@
-"""A store's HTTP answers, as what they prove.
+"""Calls to a store over HTTP, with results by what the response proves.
 
-Which statuses say "nothing was done" is what the standard says of them;
-paths and bodies are each store's own.
+The statuses that prove that a call had no effect follow the HTTP standard;
+paths and bodies differ from store to store.
 """
 
 import attrs
@@ -16,28 +16,28 @@
 from toucanrudder.store import strange
 from toucanrudder.store import typed
 
-#: A new connection crosses one zone border at most.
-CONNECT_S = 1.0
+#: Connect timeout; a new connection crosses one zone border at most.
+CONNECT_TIMEOUT_S = 1.0
 
-#: Answers by which a call had no effect.
-_REFUSED = (429, 503)
+#: Statuses that prove that a call had no effect.
+_REJECTED = (429, 503)
 
-_NO_ANSWER = (client.ExchangeError, TimeoutError, calls.Unreadable)
+_NO_RESPONSE = (client.ExchangeError, TimeoutError, calls.Unreadable)
 
 
 @attrs.frozen
 class Answer:
-    """What a store answered.
+    """Response of a store.
 
     Parameters
     ----------
     status : int
-        Of HTTP.
+        HTTP status.
     body : object
-        What was parsed from its body.
+        Parsed body.
     era : int
-        Rises when the store is restored from an older copy; 0 if it does
-        not tell.
+        Era of the store, which increases when the store is restored from
+        an older copy; 0 from a store without eras.
     """
 
     status: int
@@ -46,12 +46,12 @@
 
 
 def parse_record(made: type[typed.Made], answer: Answer) -> typed.Made:
-    """Return the record in the answer to a read.
+    """Return the record in the response to a read.
 
     Raises
     ------
     StoreUnavailable
-        There is none: the store is not well.
+        The response holds no such record.
     """
     try:
         return typed.read(made, answer.body, "store")
@@ -61,15 +61,15 @@
 
 @attrs.define
 class RestCalls:
-    """Reads and conditional writes at one address.
+    """Reads and conditional writes to one store address.
 
     Parameters
     ----------
     address : str
         ``IP:port``.
     era_field : bytes
-        Lower-case name of the field in which answers tell the store's
-        era; empty for a store without eras.
+        Lower-case name of the response header with the store's era; empty
+        for a store without eras.
     """
 
     address: str
@@ -83,33 +83,33 @@
     )
 
     async def read(self, path: str, timeout_s: float) -> Answer:
-        """Return the answer to a read: 200, 404 or 410.
+        """Return the response to a read, with status 200, 404 or 410.
 
         Raises
         ------
         StoreUnavailable
-            There was no other.
+            There was no response, or it had another status.
         """
         try:
             answer = await self._exchange(b"GET", path, None, timeout_s)
-        except _NO_ANSWER as error:
+        except _NO_RESPONSE as error:
             raise interface.StoreUnavailable(str(error)) from error
         except interface.MalformedObject as error:
             strange.log_malformed(error)
             raise interface.StoreUnavailable(str(error)) from error
         if answer.status not in (200, 404, 410):
-            raise interface.StoreUnavailable(f"status {answer.status}")
+            raise interface.StoreUnavailable(f"HTTP status {answer.status}")
         return answer
 
     async def write(
         self, method: bytes, path: str, body: object, timeout_s: float
     ) -> Answer:
-        """Return the answer to a write that took effect.
+        """Return the response to a write that took effect.
 
         Raises
         ------
         ConditionFailed, StoreUnavailable, OutcomeUnknown
-            As `interface.ConditionalStore` says.
+            As documented at `interface.ConditionalStore`.
         """
         try:
             answer = await self._exchange(method, path, body, timeout_s)
@@ -122,29 +122,31 @@
         except interface.MalformedObject as error:
             strange.log_malformed(error)
             raise interface.OutcomeUnknown(str(error)) from error
-        if answer.status in _REFUSED:
-            raise interface.StoreUnavailable(f"status {answer.status}")
+        if answer.status in _REJECTED:
+            raise interface.StoreUnavailable(f"HTTP status {answer.status}")
         if answer.status in (404, 409):
             raise interface.ConditionFailed(path)
         if answer.status >= 300:
-            raise interface.OutcomeUnknown(f"status {answer.status}")
+            raise interface.OutcomeUnknown(f"HTTP status {answer.status}")
         return answer
 
     async def _exchange(
         self, method: bytes, path: str, body: object, timeout_s: float
     ) -> Answer:
         self.count += 1
-        found = await calls.call(
+        response = await calls.call(
             self.connections,
             self.address,
             method,
             path,
             body=body,
             timeout_s=timeout_s,
-            connect_timeout_s=CONNECT_S,
+            connect_timeout_s=CONNECT_TIMEOUT_S,
             clock=clock.now_s,
         )
-        return Answer(found.status, found.body, self._era(found.headers))
+        return Answer(
+            response.status, response.body, self._era(response.headers)
+        )
 
     def _era(self, headers: message.Headers) -> int:
         if not self.era_field:
@@ -153,12 +155,12 @@
 
 
 class RestStore(interface.ConditionalStore):
-    """A store that is called over HTTP.
+    """Store that is called over HTTP.
 
     Parameters
     ----------
     calls : RestCalls
-        To it.
+        Calls to the store.
     """
 
     def __init__(self, calls: RestCalls):
@@ -166,9 +168,9 @@
 
     @property
     def era(self) -> int:
-        """Era of the newest answer; 0 from a store that tells none."""
+        """Era of the newest response; 0 from a store without eras."""
         return self.calls.era_guard.newest
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the kept-alive connections."""
         self.calls.connections.close()
--- a/toucanrudder/store/strange.py
+++ b/toucanrudder/store/strange.py
@@ -1,4 +1,4 @@
-"""Objects and words that cannot be read: counted, and logged once."""
+"""Counting of malformed objects, and logging of each one once."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -12,17 +12,17 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Sources and reasons that are remembered, so that an entry which is
-#: written anew each second fills no log.
-MAX_REMEMBERED = 256
+#: Pairs of source and reason that count as logged, so that an entry that is
+#: rewritten each second does not fill the log.
+MAX_LOGGED = 256
 
-_LOGGED: cachetools.LRUCache = cachetools.LRUCache(MAX_REMEMBERED)
+_LOGGED: cachetools.LRUCache = cachetools.LRUCache(MAX_LOGGED)
 
 Read = typing.TypeVar("Read")
 
 
 def log_malformed(error: interface.MalformedObject) -> None:
-    """Count what could not be read; log it if that is news."""
+    """Count a malformed object; log it unless it was logged before."""
     kind = error.source.partition("/")[0]
     metrics.counter(
         "toucanrudder_strange_objects", "Objects that cannot be read"
@@ -30,13 +30,17 @@
     key = (error.source, error.reason)
     if key not in _LOGGED:
         _LOGGED[key] = True
-        LOG.warning("left out: %s", error.reason, extra={"peer": error.source})
+        LOG.warning(
+            "ignored malformed object: %s",
+            error.reason,
+            extra={"peer": error.source},
+        )
 
 
-def decode_or_none(decode: Callable[..., Read], *given: object) -> Read | None:
-    """Return what is read of it; None, and a log line, if it is strange."""
+def decode_or_none(decode: Callable[..., Read], *args: object) -> Read | None:
+    """Return the decoded object; log it and return None if it is malformed."""
     try:
-        return decode(*given)
+        return decode(*args)
     except interface.MalformedObject as error:
         log_malformed(error)
         return None
@@ -45,6 +49,6 @@
 def decode_valid(
     decode: Callable[[object], Read], items: Iterable[object]
 ) -> list[Read]:
-    """Return what is read of those items that are not strange."""
-    found = (decode_or_none(decode, each) for each in items)
-    return [each for each in found if each is not None]
+    """Return the decoded items, without the malformed ones."""
+    decoded = (decode_or_none(decode, item) for item in items)
+    return [each for each in decoded if each is not None]
--- a/toucanrudder/store/tests/test_eras.py
+++ b/toucanrudder/store/tests/test_eras.py
@@ -1,4 +1,4 @@
-"""Answers of a store that was restored from an older copy."""
+"""Responses of a store that was restored from an older copy."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize(
-    ("newest", "said", "era"),
+    ("newest", "header", "era"),
     [
         (0, None, 0),
         (0, b"0", 0),
@@ -16,18 +16,18 @@
         (3, b"4", 4),
     ],
 )
-def test_the_era_of_an_answer_is_taken(newest, said, era):
+def test_a_current_era_is_accepted(newest, header, era):
     guard = eras.EraGuard("store", newest)
-    assert guard.check(said) == era
+    assert guard.check(header) == era
     assert guard.newest == era
 
 
 @pytest.mark.parametrize(
-    "said", [None, b"", b"2", b"-4", b"four", b"4.0", b"\xff", b"9" * 40]
+    "header", [None, b"", b"2", b"-4", b"four", b"4.0", b"\xff", b"9" * 40]
 )
-def test_a_strange_or_superseded_era_changes_nothing(said):
-    # A late answer from before a restoration would bring lost objects back.
+def test_a_malformed_or_superseded_era_is_rejected(header):
+    # A late response from before a restoration would bring lost objects back.
     guard = eras.EraGuard("store", newest=3)
     with pytest.raises(interface.MalformedObject):
-        guard.check(said)
+        guard.check(header)
     assert guard.newest == 3
--- a/toucanrudder/store/tests/test_fanout_days.py
+++ b/toucanrudder/store/tests/test_fanout_days.py
@@ -1,4 +1,4 @@
-"""Followers, readers and the store over days with many faults."""
+"""Fan-out under random faults of routers, links and the store."""
 
 import asyncio
 import collections
@@ -16,14 +16,14 @@
 KIND = "upstreams"
 ROUTERS = 20
 NAMES = [f"i{number}" for number in range(400)]
-DAY_S = 60.0
+RUN_S = 60.0
 
-#: Time after the last fault within which each router knows all.
+#: Seconds after the last fault within which each router is up to date.
 SETTLE_S = 6.0
 
 
 class Store(feed.KindFeed):
-    """Objects with a history that is forgotten now and then."""
+    """Objects with a history that is truncated now and then."""
 
     def __init__(self):
         self.objects = {}
@@ -37,15 +37,15 @@
         if is_deleted and name not in self.objects:
             return
         self.revision += 1
-        found = interface.StoredObject(KIND, name, self.revision, {})
-        self.objects[name] = found
+        stored = interface.StoredObject(KIND, name, self.revision, {})
+        self.objects[name] = stored
         if is_deleted:
             del self.objects[name]
-        self.history.append(feed.Change(found, is_deleted))
+        self.history.append(feed.Change(stored, is_deleted))
         self.news.set()
         self.news = asyncio.Event()
 
-    def forget(self):
+    def truncate_history(self):
         self.history.clear()
         self.oldest = self.revision
         self.objects_at_oldest = dict(self.objects)
@@ -54,9 +54,9 @@
     def position(self):
         return feed.Position(self.era, self.revision)
 
-    def go_back(self, changes):
-        """Lose the newest changes, and give their revisions out again."""
-        kept = self.history[: max(0, len(self.history) - changes)]
+    def restore(self, lost_changes):
+        """Lose the newest changes, and issue their revisions again."""
+        kept = self.history[: max(0, len(self.history) - lost_changes)]
         self.era += 1
         self.revision = self.oldest
         self.objects = dict(self.objects_at_oldest)
@@ -80,8 +80,8 @@
             waiting.cancel()
         if revision < self.oldest or position.era != self.era:
             raise feed.HistoryGone(kind)
-        found = tuple(c for c in self.history if c.object.version > revision)
-        return feed.Changes(found, self.position)
+        newer = tuple(c for c in self.history if c.object.version > revision)
+        return feed.Changes(newer, self.position)
 
 
 class Link(feed.KindFeed):
@@ -90,34 +90,34 @@
     def __init__(self, store, is_cut):
         self.store, self.is_cut = store, is_cut
 
-    async def reached(self, timeout_s):
+    async def cross(self, timeout_s):
         if self.is_cut():
             await asyncio.sleep(timeout_s)
             raise interface.StoreUnavailable("cut")
         await asyncio.sleep(0.004)
 
     async def snapshot(self, kind, *, timeout_s):
-        await self.reached(timeout_s)
+        await self.cross(timeout_s)
         return await self.store.snapshot(kind, timeout_s=timeout_s)
 
     async def changes(self, kind, position, *, wait_s):
-        await self.reached(wait_s + 1.0)
-        found = await self.store.changes(kind, position, wait_s=wait_s)
-        await self.reached(1.0)
-        return found
+        await self.cross(wait_s + 1.0)
+        read = await self.store.changes(kind, position, wait_s=wait_s)
+        await self.cross(1.0)
+        return read
 
 
 class Router:
-    """What one router believes, and how it hears of changes."""
+    """One router's copy of the objects, and its feed."""
 
-    def __init__(self, day, name):
-        self.day, self.name = day, name
+    def __init__(self, scenario, name):
+        self.scenario, self.name = scenario, name
         self.content = {}
         self.log = fanout.ChangeLog()
         self.feed = fanout.FanoutFeed(
-            Link(day.store, lambda: name in day.cut),
+            Link(scenario.store, lambda: name in scenario.cut),
             self.log,
-            is_reader=lambda: name in day.readers(name),
+            is_reader=lambda: name in scenario.readers(name),
             has_followers=lambda: True,
             choose_reader=self.choose,
             ask_reader=self.ask,
@@ -129,7 +129,7 @@
             feeds.Follower(self.replaced, self.changed),
             timeout_s=1.0,
             wait_s=lambda: 2.0,
-            rng=day.rng,
+            rng=scenario.rng,
             followers=lambda: 40,
         )
 
@@ -144,17 +144,19 @@
         if not change.is_deleted:
             self.content[change.object.name] = change.object.version
 
-    def choose(self, shunned):
-        for name in self.day.readers(self.name):
-            if name != self.name and name not in shunned:
+    def choose(self, excluded):
+        for name in self.scenario.readers(self.name):
+            if name != self.name and name not in excluded:
                 return fanout.Reader(name, name)
         return None
 
     async def ask(self, reader, kind, position, wait_s):
-        log = self.day.routers[reader.name].log
-        is_lost = self.day.rng.random() < self.day.loss
-        is_apart = (self.name in self.day.cut) != (reader.name in self.day.cut)
-        if is_lost or is_apart or reader.name not in self.day.live:
+        log = self.scenario.routers[reader.name].log
+        is_lost = self.scenario.rng.random() < self.scenario.loss
+        is_unreachable = (self.name in self.scenario.cut) != (
+            reader.name in self.scenario.cut
+        )
+        if is_lost or is_unreachable or reader.name not in self.scenario.live:
             await asyncio.sleep(fanout.ASK_DEADLINE_S)
             return None
         await log.wait(position, wait_s)
@@ -163,8 +165,8 @@
         )
 
 
-class Day:
-    """Routers that come and go, and what happens to all of them."""
+class Scenario:
+    """Routers that start and stop, and faults of all of them."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -179,7 +181,7 @@
     def readers(self, name):
         return fanout.select_readers({name, *self.views[name]})
 
-    def dies_or_returns(self):
+    def stop_or_start_routers(self):
         for name in self.rng.sample(sorted(self.routers), ROUTERS // 5):
             if name in self.live:
                 self.live.discard(name)
@@ -189,74 +191,78 @@
             self.routers[name] = Router(self, name)
             self.routers[name].start()
 
-    def is_cut_off(self):
+    def cut_off_routers(self):
         self.cut = set(self.rng.sample(sorted(self.routers), 5))
 
-    def is_healed(self):
+    def reconnect_routers(self):
         self.cut = set()
 
-    def is_seen(self):
+    def update_views(self):
         for name in self.rng.sample(sorted(self.routers), ROUTERS // 2):
             self.views[name] = set(self.live)
 
-    def is_restored(self):
-        self.store.go_back(self.rng.randint(1, 6))
+    def restore_store(self):
+        self.store.restore(self.rng.randint(1, 6))
 
-    def writes(self):
+    def write_objects(self):
         for _ in range(self.rng.randint(1, 4)):
             name = self.rng.choice(NAMES)
             self.store.write(name, self.rng.random() < 0.3)
 
-    async def run(self, others=()):
-        # On some days the history is kept long enough for all to be told.
-        events = [self.writes] * self.rng.choice([8, 80]) + [
-            self.dies_or_returns,
-            self.is_cut_off,
-            self.is_healed,
-            self.is_seen,
-            self.is_seen,
-            self.store.forget,
-            *others,
+    async def run(self, extra_events=()):
+        # In some runs the history is kept long enough to reach all routers.
+        events = [self.write_objects] * self.rng.choice([8, 80]) + [
+            self.stop_or_start_routers,
+            self.cut_off_routers,
+            self.reconnect_routers,
+            self.update_views,
+            self.update_views,
+            self.store.truncate_history,
+            *extra_events,
         ]
         for each in self.routers.values():
             each.start()
-        end_s = clock.now_s() + DAY_S
+        end_s = clock.now_s() + RUN_S
         while clock.now_s() < end_s:
             self.rng.choice(events)()
             await asyncio.sleep(self.rng.expovariate(8.0))
         self.loss, self.cut = 0.0, set()
         for name in self.routers:
             self.views[name] = set(self.live)
-        self.writes()
+        self.write_objects()
         await asyncio.sleep(SETTLE_S)
         return {each: self.routers[each].content for each in self.live}
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_at_the_end_each_router_holds_what_the_store_holds(seed):
-    """Whatever happened on the way, no change stays untold.
-
-    Routers die together and return empty, see each other's end late and
-    so disagree on who reads; questions are lost, some routers are cut off
-    from the store and the others, and the store forgets its history.  In
-    the end each router comes to the store's content within some seconds.
+def test_all_routers_converge_to_the_store(seed):
+    """Changes get lost under faults, and a router's copy stays wrong.
+
+    Routers die together and restart empty, notice each other's failure late
+    and so disagree on the readers; requests are lost, some routers are cut
+    off from the store and the others, and the store truncates its history.
+    After the last fault each router must have the store's content within
+    `SETTLE_S`.
     """
 
-    async def lived():
-        day = Day(seed)
-        return await day.run(), day.store.content()
+    async def run_scenario():
+        scenario = Scenario(seed)
+        return await scenario.run(), scenario.store.content()
 
-    held, stored = timing.run(lived)
-    assert held == dict.fromkeys(held, stored)
+    copies, stored = timing.run(run_scenario)
+    assert copies == dict.fromkeys(copies, stored)
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_what_a_restored_store_has_lost_is_held_by_no_router(seed):
-    """The store comes back older, and gives its revisions out again."""
-
-    async def lived():
-        day = Day(seed)
-        return await day.run([day.is_restored] * 3), day.store.content()
+def test_no_router_keeps_objects_lost_in_a_restore(seed):
+    """The store is restored from an older copy and issues revisions again."""
+
+    async def run_scenario():
+        scenario = Scenario(seed)
+        return (
+            await scenario.run([scenario.restore_store] * 3),
+            scenario.store.content(),
+        )
 
-    held, stored = timing.run(lived)
-    assert held == dict.fromkeys(held, stored)
+    copies, stored = timing.run(run_scenario)
+    assert copies == dict.fromkeys(copies, stored)
--- a/toucanrudder/store/tests/test_stores.py
+++ b/toucanrudder/store/tests/test_stores.py
@@ -1,4 +1,4 @@
-"""The object store's promises, over HTTP and in memory."""
+"""Guarantees of the object store, over HTTP and in memory."""
 
 import asyncio
 import contextlib
@@ -15,8 +15,8 @@
 OPTIONS = {"timeout_s": 5.0}
 
 
-class Wire:
-    """A raw server: reads a request, then does as its mode says."""
+class RawServer:
+    """A raw HTTP server that answers, cuts or stalls by its mode."""
 
     def __init__(self):
         self.mode = "silent"
@@ -39,21 +39,21 @@
                     break
                 status, body = self.mode
                 data = json.dumps(body).encode()
-                answer = (
+                response = (
                     f"HTTP/1.1 {status} X\r\nContent-Length: "
                     f"{len(data)}\r\n\r\n".encode()
                     + data
                 )
-                again = answer if self.repeats == "at once" else b""
-                writer.write(late + answer + again)
-                late = answer if self.repeats == "late" else b""
+                duplicate = response if self.repeats == "at once" else b""
+                writer.write(late + response + duplicate)
+                late = response if self.repeats == "late" else b""
                 await writer.drain()
         writer.close()
 
 
 @contextlib.asynccontextmanager
 async def sessions():
-    """Yield a session that keeps connections, and one that does not."""
+    """Yield a session with and one without kept-alive connections."""
     connector = aiohttp.TCPConnector(force_close=True)
     async with (
         aiohttp.ClientSession() as session,
@@ -63,13 +63,13 @@
 
 
 @pytest.fixture
-async def wire():
-    state = Wire()
-    server = await asyncio.start_server(state.serve, "127.0.0.1", 0)
+async def raw_server():
+    raw_server = RawServer()
+    server = await asyncio.start_server(raw_server.serve, "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     async with sessions() as (session, fresh):
-        state.store = http.HttpObjectStore(address, session, fresh)
-        yield state
+        raw_server.store = http.HttpObjectStore(address, session, fresh)
+        yield raw_server
     server.close()
 
 
@@ -96,51 +96,55 @@
 
 @pytest.mark.parametrize("operation", WRITES)
 @pytest.mark.parametrize(("mode", "error"), OUTCOMES)
-async def test_a_write_says_whether_it_can_have_taken_effect(
-    wire, operation, mode, error
+async def test_a_failed_write_says_whether_it_may_have_taken_effect(
+    raw_server, operation, mode, error
 ):
-    """The writer is told "no effect", "not so" or "nobody knows".
+    """A write fails as without effect, on its condition, or as unknown.
 
-    The write is read by the store, which then answers, cuts the
-    connection or stays silent.  Only an answer proves that nothing
-    happened; it must be sent once, also on a kept connection.
+    The store reads the write and then responds, cuts the connection or
+    sends nothing.  Only a response proves that the write had no effect.  The
+    write must be sent once, also on a kept-alive connection.
     """
-    wire.mode = (200, {"version": 1})
-    await wire.store.create("k", "n", {}, **OPTIONS)
-    wire.requests.clear()
-    wire.mode = mode
+    raw_server.mode = (200, {"version": 1})
+    await raw_server.store.create("k", "n", {}, **OPTIONS)
+    raw_server.requests.clear()
+    raw_server.mode = mode
     with pytest.raises(error):
-        await WRITES[operation](wire.store, 0.2 if mode == "silent" else 5)
-    assert len(wire.requests) == 1
+        await WRITES[operation](
+            raw_server.store, 0.2 if mode == "silent" else 5
+        )
+    assert len(raw_server.requests) == 1
 
 
 @pytest.mark.parametrize("operation", WRITES)
 @pytest.mark.parametrize("repeats", ["at once", "late"])
-async def test_an_answer_given_twice_is_no_answer_to_the_next_write(
-    wire, operation, repeats
+async def test_a_duplicate_response_does_not_answer_the_next_write(
+    raw_server, operation, repeats
 ):
-    """A write's answer comes again where that of the next is expected."""
-    wire.mode, wire.repeats = (200, {"version": 1}), repeats
-    await wire.store.create("k", "n", {}, **OPTIONS)
-    wire.mode = (409, {"version": 1})
+    """A duplicate response arrives where that of the next write is due."""
+    raw_server.mode, raw_server.repeats = (200, {"version": 1}), repeats
+    await raw_server.store.create("k", "n", {}, **OPTIONS)
+    raw_server.mode = (409, {"version": 1})
     with pytest.raises(interface.ConditionFailed):
-        await WRITES[operation](wire.store, 5)
+        await WRITES[operation](raw_server.store, 5)
 
 
 @pytest.mark.parametrize("operation", READS)
 @pytest.mark.parametrize("mode", ["cut", "silent", (503, {}), (200, [])])
 async def test_a_failed_read_is_unavailable(
-    wire, monkeypatch, operation, mode
+    raw_server, monkeypatch, operation, mode
 ):
-    """A reader is told that the store is away, also by a hung watch.
+    """A read fails as unavailable, and so does a hung watch.
 
-    The connection is cut or stays open and silent for good.  A watch
-    that never answers must not be taken for "no change".
+    The connection is cut, or stays open without a response.  A watch without
+    a response must not be read as "no change".
     """
     monkeypatch.setattr(http, "WATCH_MARGIN_S", 0.1)
-    wire.mode = mode
+    raw_server.mode = mode
     with pytest.raises(interface.StoreUnavailable):
-        await READS[operation](wire.store, 0.2 if mode == "silent" else 5)
+        await READS[operation](
+            raw_server.store, 0.2 if mode == "silent" else 5
+        )
 
 
 @pytest.mark.parametrize("operation", [*WRITES, *READS])
@@ -152,7 +156,7 @@
         assert store.counts == {("k", operation): 1}
 
 
-class Served:
+class StoreServer:
     """The HTTP protocol, served from a store in memory."""
 
     def __init__(self, backing):
@@ -178,13 +182,13 @@
     async def get(self, request):
         args, query = request.match_info.values(), request.query
         if "wait_s" in query:
-            found = await self.backing.watch(
+            stored = await self.backing.watch(
                 *args,
                 int(query["after_version"]),
                 wait_s=float(query["wait_s"]),
             )
-            return _answer(found, 304)
-        return _answer(await self.backing.get(*args, **OPTIONS), 404)
+            return _response(stored, 304)
+        return _response(await self.backing.get(*args, **OPTIONS), 404)
 
     async def delete(self, request):
         version = int(request.headers["If-Match"])
@@ -198,23 +202,23 @@
 
     async def listing(self, request):
         query = {**request.query, "limit": int(request.query["limit"])}
-        found = await self.backing.list(
+        listed = await self.backing.list(
             request.match_info["kind"], **query, **OPTIONS
         )
-        return web.json_response({"items": [_body(item) for item in found]})
+        return web.json_response({"items": [_body(item) for item in listed]})
 
 
-def _answer(found, absent):
-    if found is None:
-        return web.Response(status=absent)
-    return web.json_response(_body(found))
+def _response(stored, absent_status):
+    if stored is None:
+        return web.Response(status=absent_status)
+    return web.json_response(_body(stored))
 
 
-def _body(found):
+def _body(stored):
     return {
-        "name": found.name,
-        "version": found.version,
-        "value": found.value,
+        "name": stored.name,
+        "version": stored.version,
+        "value": stored.value,
     }
 
 
@@ -224,7 +228,7 @@
     if request.param == "memory":
         yield backing
         return
-    runner = web.AppRunner(Served(backing).app)
+    runner = web.AppRunner(StoreServer(backing).app)
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", 0)
     await site.start()
@@ -242,24 +246,24 @@
     second = await store.update("k", name, {"x": 2}, first, **OPTIONS)
     with pytest.raises(interface.ConditionFailed):
         await store.update("k", name, {"x": 3}, first, **OPTIONS)
-    found = await store.get("k", name, **OPTIONS)
-    assert found == interface.StoredObject("k", name, second, {"x": 2})
+    stored = await store.get("k", name, **OPTIONS)
+    assert stored == interface.StoredObject("k", name, second, {"x": 2})
     with pytest.raises(interface.ConditionFailed):
         await store.delete("k", name, first, **OPTIONS)
     await store.delete("k", name, second, **OPTIONS)
     assert await store.get("k", name, **OPTIONS) is None
 
 
-async def test_a_list_goes_on_after_a_name(store):
+async def test_a_list_continues_after_a_name(store):
     for name in ("a1", "a2", "a3", "b1"):
         await store.create("k", name, {}, **OPTIONS)
-    found = await store.list("k", prefix="a", limit=2, **OPTIONS)
-    assert [item.name for item in found] == ["a1", "a2"]
+    first = await store.list("k", prefix="a", limit=2, **OPTIONS)
+    assert [item.name for item in first] == ["a1", "a2"]
     rest = await store.list("k", prefix="a", after="a2", **OPTIONS)
     assert [item.name for item in rest] == ["a3"]
 
 
-async def test_a_watch_answers_a_change_or_its_absence(store):
+async def test_a_watch_returns_a_change_or_none(store):
     version = await store.create("k", "n", {"x": 1}, **OPTIONS)
     assert await store.watch("k", "n", version, wait_s=0.05) is None
     watch = asyncio.create_task(store.watch("k", "n", version, wait_s=30))
--- a/toucanrudder/store/typed.py
+++ b/toucanrudder/store/typed.py
@@ -1,10 +1,10 @@
-"""Values of unknown origin, read into typed records.
+"""Validation of untrusted values, and their conversion to typed records.
 
-Failure: an entry comes from another writer, or from a newer version, and
-lacks a field or holds one of another type.  Symptom: a text where a number
-belongs gets into the tables and fails far away, or ends the task that
-follows the registry.  Each object is checked here as a whole before
-anything of it is used, so that a strange one costs itself alone.
+An entry of another writer, or of a newer version, may lack a field or hold
+one of another type.  A string in place of a number would get into the tables
+and fail far from its origin, or end the task that watches the registry.
+Each object is therefore checked as a whole before any part of it is used, so
+that a malformed object affects only itself.
 """
 
 from collections.abc import Callable
@@ -19,116 +19,123 @@
 from toucanrudder import addresses
 from toucanrudder.store import interface
 
-#: Largest whole number that is believed: what fits 63 bits.
-_MOST = 2**63 - 1
+#: Largest accepted magnitude of a number: what fits into 63 bits.
+_MAX_MAGNITUDE = 2**63 - 1
 
 Made = typing.TypeVar("Made")
 
 
-def _whole(value: object, _: type) -> int:
-    # A truth value is an int in Python, but no number on the wire.
-    if type(value) is not int or not -_MOST <= value <= _MOST:
-        raise ValueError("not a whole number")
+def _integer(value: object, _: type) -> int:
+    # A bool is an int in Python, but not a number on the wire.
+    if (
+        type(value) is not int
+        or not -_MAX_MAGNITUDE <= value <= _MAX_MAGNITUDE
+    ):
+        raise ValueError("not an integer")
     return value
 
 
 def _number(value: object, _: type) -> float:
-    if type(value) not in (int, float) or not abs(value) <= _MOST:
+    if type(value) not in (int, float) or not abs(value) <= _MAX_MAGNITUDE:
         raise ValueError("not a number")
     return float(value)
 
 
-def _text(value: object, _: type) -> str:
+def _string(value: object, _: type) -> str:
     if type(value) is not str:
-        raise ValueError("not a text")
-    # What cannot be encoded would fail when it is written to a socket.
+        raise ValueError("not a string")
+    # A string that cannot be encoded would fail when written to a socket.
     value.encode()
     return value
 
 
-def _truth(value: object, _: type) -> bool:
+def _boolean(value: object, _: type) -> bool:
     if type(value) is not bool:
-        raise ValueError("neither true nor false")
+        raise ValueError("not a boolean")
     return value
 
 
 @functools.cache
 def _converter() -> cattrs.Converter:
-    # The short validation names the first fault only, at half the memory.
-    found = cattrs.Converter(detailed_validation=False)
-    found.register_structure_hook(int, _whole)
-    found.register_structure_hook(float, _number)
-    found.register_structure_hook(str, _text)
-    found.register_structure_hook(bool, _truth)
-    found.register_structure_hook_factory(
-        attrs.has, lambda made: _from_table(made, found)
+    # Without detailed validation only the first fault is named, at half the
+    # memory.
+    converter = cattrs.Converter(detailed_validation=False)
+    converter.register_structure_hook(int, _integer)
+    converter.register_structure_hook(float, _number)
+    converter.register_structure_hook(str, _string)
+    converter.register_structure_hook(bool, _boolean)
+    converter.register_structure_hook_factory(
+        attrs.has, lambda record_type: _record_hook(record_type, converter)
     )
-    return found
+    return converter
 
 
-#: Fields that are called otherwise on the wire, by class; a pair's second
-#: half turns their value into ours.
+#: Overrides for fields that have another name or unit on the wire, by class.
 _WIRE_FIELDS: dict[type, dict[str, gen.AttributeOverride]] = {}
 
 
-def set_wire_fields(made: type, **fields: gen.AttributeOverride) -> None:
-    """Say how a class's fields are spelled; call it before `read`."""
-    _WIRE_FIELDS[made] = fields
+def set_wire_fields(
+    record_type: type, **fields: gen.AttributeOverride
+) -> None:
+    """Set the wire names and units of a class's fields, before any `read`."""
+    _WIRE_FIELDS[record_type] = fields
 
 
 def wire_field(
     wire_name: str, factor: float | None = None
 ) -> gen.AttributeOverride:
-    """Return how one field is spelled.
+    """Return the override for one field.
 
     Parameters
     ----------
     wire_name : str
-        Its name on the wire.
+        Name of the field on the wire.
     factor : float or None
-        What a number there is multiplied with, for its unit.
+        Factor that converts a number from the unit on the wire.
     """
     if factor is None:
         return gen.override(rename=wire_name)
     return gen.override(
         rename=wire_name,
-        struct_hook=lambda value, made: factor * _number(value, made),
+        struct_hook=lambda value, record_type: (
+            factor * _number(value, record_type)
+        ),
     )
 
 
-def _from_table(made: type, converter: cattrs.Converter) -> Callable:
-    """Return what makes a record of a table, and of nothing else.
+def _record_hook(record_type: type, converter: cattrs.Converter) -> Callable:
+    """Return a structure hook that accepts only a dict for the record.
 
-    Where all fields have defaults, a text or a list would pass for one.
+    If all fields have defaults, a string or a list would pass as a record.
     """
-    make = gen.make_dict_structure_fn(
-        made, converter, **_WIRE_FIELDS.get(made, {})
+    structure_dict = gen.make_dict_structure_fn(
+        record_type, converter, **_WIRE_FIELDS.get(record_type, {})
     )
 
     def structure(value: object, _: type) -> object:
         if not isinstance(value, dict):
-            raise ValueError(f"{made.__name__} is no table")
-        return make(value, made)
+            raise ValueError(f"{record_type.__name__} is not an object")
+        return structure_dict(value, record_type)
 
     return structure
 
 
-def read(made: type[Made], value: object, source: str) -> Made:
-    """Return the record that a value holds.
+def read(record_type: type[Made], value: object, source: str) -> Made:
+    """Convert a parsed value to a record.
 
     Parameters
     ----------
-    made : type
-        An attrs class whose fields say types and bounds.
+    record_type : type
+        attrs class whose fields define types and bounds.
     value : object
-        What was parsed from the wire.
+        Value parsed from the wire.
     source : str
-        Where it comes from, for the error.
+        Origin of the value, for the error.
 
     Raises
     ------
     MalformedObject
-        The value holds no such record.
+        The value is not a valid record.
 
     Examples
     --------
@@ -141,61 +148,65 @@
     ...     read(Weights, {"version": "3"}, "store")
     ... except interface.MalformedObject as error:
     ...     error.reason
-    "Weights cannot be read: ValueError('not a whole number')"
+    "Weights cannot be read: ValueError('not an integer')"
     """
     try:
-        return _converter().structure(value, made)
+        return _converter().structure(value, record_type)
     except interface.MalformedObject:
         raise
-    # Whatever a record of unknown origin makes the checks fail with.
+    # An untrusted value can make the checks fail with any exception.
     except Exception as error:
-        reason = f"{made.__name__} cannot be read: {error!r}"
+        reason = f"{record_type.__name__} cannot be read: {error!r}"
         raise interface.MalformedObject(source, reason) from error
 
 
-def validator(is_good: Callable[[typing.Any], bool], says: str) -> Callable:
-    """Return a validator of a field that says what is wrong with it."""
+def validator(
+    is_valid: Callable[[typing.Any], bool], message: str
+) -> Callable:
+    """Return an attrs validator that fails with the message."""
 
     def check(instance, attribute, value) -> None:
-        if not is_good(value):
-            raise ValueError(f"{attribute.name}: {says}")
+        if not is_valid(value):
+            raise ValueError(f"{attribute.name}: {message}")
 
     return check
 
 
 def rows_of(*types: type) -> Callable:
-    """Return a validator of a list of lists, by the types in each.
+    """Return an attrs validator of a list of rows with these column types.
 
-    Where thousands come at once, a record of each takes ten times as long.
+    For thousands of rows, one record per row takes ten times as long.
     """
-    wanted = list(types)
+    expected = list(types)
 
     def check(instance, attribute, value) -> None:
         for row in value:
-            if type(row) is not list or list(map(type, row)) != wanted:
-                raise ValueError(f"{attribute.name}: {row!r} is no row")
+            if type(row) is not list or list(map(type, row)) != expected:
+                raise ValueError(
+                    f"{attribute.name}: {row!r} is not a valid row"
+                )
 
     return check
 
 
 def _is_address(value: str) -> bool:
-    found = addresses.ip_of(value)
-    is_v4 = isinstance(found, ipaddress.IPv4Address)
-    # In brackets it would be taken for a name when it is connected to.
-    return is_v4 and value.startswith(str(found))
+    ip = addresses.ip_of(value)
+    is_v4 = isinstance(ip, ipaddress.IPv4Address)
+    # An address in brackets would be resolved as a host name on connecting.
+    return is_v4 and value.startswith(str(ip))
 
 
-def _is_word(value: str) -> bool:
-    """Whether a text may stand in a header."""
+def _is_header_value(value: str) -> bool:
+    """Return whether a string is allowed as a header value."""
     return bool(value) and value.isprintable() and value.isascii()
 
 
 #: ``IP:port``, or None.
-ADDRESS = attrs.validators.optional(validator(_is_address, "no IP:port"))
-#: What may stand in a header.
-HEADER_VALUE = validator(_is_word, "not a word")
+ADDRESS = attrs.validators.optional(validator(_is_address, "not an IP:port"))
+#: Non-empty printable ASCII, as allowed in a header.
+HEADER_VALUE = validator(_is_header_value, "not a header value")
 POSITIVE = attrs.validators.gt(0)
-#: How many things one process has: more than a hundred times what the
-#: largest engines run at once.
+#: Positive number of items that one process has; the limit is more than a
+#: hundred times what the largest engines run at once.
 COUNT = attrs.validators.and_(POSITIVE, attrs.validators.le(65_536))
 NOT_NEGATIVE = attrs.validators.ge(0)
