--- a/toucanrudder/forwarding/placing.py
+++ b/toucanrudder/forwarding/placing.py
@@ -1,12 +1,14 @@
-"""Which upstream a request is sent to.  No I/O.
-
-Load it answers: prompts of some 12,000 tokens of which about half are
-shared, a few tens of requests a second over 5 to 400 engines, and short
-plain requests beside them.  What is believed to be cached counts where it
-is; what is cached nowhere has one home that all routers compute alike
-(rendezvous hashing), so that its first readers meet.  Load moves a
-request away only when waiting costs more than reading elsewhere, and a
-part that another engine holds is copied from there instead of read.
+"""Choice of the upstream that a request is sent to.  No I/O.
+
+Expected load: prompts of about 12,000 tokens, about half of them shared,
+at a few tens of requests per second over 5 to 400 engines, plus short
+requests without a prompt.  Each candidate's cost is the tokens that it
+would have to prefill plus its queue.  A prompt whose shared parts are
+cached nowhere has one home engine that all routers compute alike
+(rendezvous hashing), so that its first requests share one prefill.  A
+request leaves the engine that caches its parts only if waiting there costs
+more than prefilling elsewhere; parts that another engine holds are copied
+from it.
 """
 
 from collections.abc import Iterable
@@ -24,78 +26,79 @@
 from toucanrudder.forwarding import upstream_states
 from toucanrudder.placement import rendezvous
 
-#: What one more running request costs the others there: a decode step
-#: gets longer by about 0.011 ms, over some 80 steps.
-RUNNING_S = 0.001
+#: Cost in seconds of one more running request to the others on the engine:
+#: it lengthens a decode step by about 0.011 ms, over some 80 steps.
+RUNNING_COST_S = 0.001
 
 #: The same for a request that waits there for memory or a slot: its share
-#: of the half second until one of those that run has ended.
-WAITING_S = 0.13
+#: of the half second until a running request ends.
+WAITING_COST_S = 0.13
 
 #: Share of an engine's slots beyond which a request would have to wait.
 FULL_SHARE = 0.9
 
-#: Cost of an upstream whose weights have been superseded for longer than
-#: OLD_AFTER_S: an answer made on them loses a fifth of its worth, which
-#: callers rate higher than about 300 ms of waiting.
-OLD_WEIGHTS_S = 0.3
-OLD_AFTER_S = 1.2
-
-#: The same as soon as they have been superseded: a run that is under way
-#: when its engine loads new ones stands still meanwhile, and what it makes
-#: afterwards is worth nothing.  Less, as most runs end before.
-SUPERSEDED_S = 0.1
-
-#: Part of the time within which engines must have new weights, from which
-#: an older one gets work only if there is no other: its answers are worth
-#: nothing at the end of that time, and are worth less long before.
+#: Cost of an engine whose weights have been superseded for longer than
+#: STALE_AFTER_S: its answer is worth a fifth less, which callers rate
+#: higher than about 300 ms of waiting.
+STALE_WEIGHTS_COST_S = 0.3
+STALE_AFTER_S = 1.2
+
+#: Cost of an engine whose weights have been superseded for less than that.
+#: A request that runs while its engine loads new weights is paused, and
+#: its output after the change is worth nothing.  The cost is lower, as most
+#: requests end before the change.
+SUPERSEDED_WEIGHTS_COST_S = 0.1
+
+#: Fraction of the bound on the age of weights from which an engine gets
+#: work only if there is no other: its answers are worth nothing at the end
+#: of that time, and lose worth long before.
 LAST_RESORT_AGE_SHARE = 0.69
 
-#: Seconds before the end of that time from which an engine gets no work
-#: at all: routers learn of new weights up to half a second late, and a
-#: request begins some hundred milliseconds after it was sent.
-CLOSE_S = 1.0
+#: Seconds before the bound from which an engine gets no work at all:
+#: routers learn of new weights up to half a second late, and a request
+#: begins some hundred milliseconds after it was sent.
+CUTOFF_MARGIN_S = 1.0
 
 #: The same for an engine where requests wait: it takes about half a second
-#: until one of those that run has ended, and there may be two before.
-CLOSE_WAITING_S = 2.0
+#: until a running request ends, and two may be ahead in the queue.
+QUEUED_CUTOFF_MARGIN_S = 2.0
 
-#: Cost of one failed request in five: what a retry costs.
-FAILURE_S = 1.0
+#: Cost of a retry, charged for each failed request where one in five fails.
+FAILURE_COST_S = 1.0
 
-#: Part of a prompt's unread shared tokens that its home is credited with:
-#: other routers send there too, and probably have them read already.
+#: Fraction of a prompt's uncached shared tokens that is credited to its
+#: home: other routers send there too and have probably had them prefilled.
 HOME_CREDIT = 0.9
 
-#: Tokens below which copying is not worth a round trip.
-LEAST_COPY_TOKENS = 64
+#: Fewest tokens for which a copy is worth a round trip.
+MIN_COPY_TOKENS = 64
 
-#: Part of an engine's memory that the requests there may need, each taken
-#: to be as large as the one in hand, for it to hold a copy as well.
-COPY_MEMORY_SHARE = 0.15
+#: Fraction of an engine's memory that its requests may need, each assumed
+#: to be as large as the current one, if it is to hold a backup as well.
+BACKUP_MEMORY_SHARE = 0.15
 
-#: Load difference below which a plain request stays in its zone, as a
-#: share of the slots: crossing costs a millisecond or two each way.
+#: Load difference, as a share of the slots, below which a request without
+#: a prompt stays in its zone: crossing costs a millisecond or two each way.
 ZONE_SHARE = 0.17
 
 
-USUAL_SPEEDS = speeds.EngineSpeeds()
+DEFAULT_SPEEDS = speeds.EngineSpeeds()
 
 
 @attrs.frozen
 class Candidate:
-    """An upstream with what is known of it.
+    """An upstream and what this router knows about it.
 
     Parameters
     ----------
     upstream : model.Upstream
         The upstream.
     state : upstream_states.UpstreamState
-        What this router has seen of it.
+        Its load and health as seen by this router.
     weights_age_s : float
-        For how long its weights have been superseded; 0 for the newest.
+        Seconds since its weights were superseded; 0 for the newest.
     peer_prefill_tokens, peer_requests : int
-        Work of other routers there, as they told.
+        Work that other routers have sent there, as reported by them.
     """
 
     upstream: model.Upstream
@@ -105,7 +108,7 @@
     peer_requests: int = 0
 
     def requests(self, now_s: float) -> float:
-        """Return the requests there, of all routers."""
+        """Return the number of requests there, of all routers."""
         state = self.state
         others = self.peer_requests
         if state.load is not None:
@@ -115,26 +118,26 @@
 
 @attrs.frozen
 class Choice:
-    """The upstream that was chosen, and why.
+    """The chosen upstream and the reason for it.
 
     Parameters
     ----------
     upstream : model.Upstream
         Where the request goes.
     missing_tokens : int
-        Prompt tokens that it will probably have to read.
+        Estimated prompt tokens that it has to prefill.
     copied_tokens : int
-        Those that it will probably get from elsewhere.
+        Estimated prompt tokens that it copies from elsewhere.
     copy_from : str
         Address of the engine or store that holds more of the prompt, or
         empty.
     save_to : str
-        Address of the store that is to keep what the upstream reads, or
+        Address of the store that is to keep what the upstream prefills, or
         empty.
     reason : str
         For the log.
     candidates : int
-        Upstreams that it was chosen from.
+        Number of upstreams that it was chosen from.
     """
 
     upstream: model.Upstream
@@ -149,21 +152,22 @@
 def time_to_cutoff_s(
     candidate: Candidate, bound_s: float, now_s: float
 ) -> float:
-    """Return after which time an engine gets no work for its old weights.
-
-    Failure: the router that orders new weights falls silent, and engines
-    have old ones past the time that is allowed.  Symptom: requests begin
-    on them all the same, as there is no other engine.  Whoever sends none
-    that could still wait then keeps the bound, whatever holds the orders
-    up; callers are told at once to come back.  Newest weights never close,
-    however short the time is.
+    """Return the seconds until an engine's weights are too old for new work.
+
+    Guards against a controller that stops ordering new weights: engines
+    then keep superseded weights past the bound, and requests would begin on
+    them for lack of another engine.  The cutoff keeps the bound whatever
+    delays the orders; callers are told at once to come back later.  The
+    newest weights have no cutoff, however short the bound is.
     """
     if candidate.weights_age_s <= 0:
         return float("inf")
-    wait_s = (
-        CLOSE_WAITING_S if candidate.state.waiting_requests(now_s) else CLOSE_S
+    margin_s = (
+        QUEUED_CUTOFF_MARGIN_S
+        if candidate.state.waiting_requests(now_s)
+        else CUTOFF_MARGIN_S
     )
-    return bound_s - wait_s - candidate.weights_age_s
+    return bound_s - margin_s - candidate.weights_age_s
 
 
 def usable_candidates(
@@ -173,9 +177,10 @@
 ) -> Sequence[Candidate]:
     """Return the candidates worth sending to.
 
-    Those that failed or were full just now are left out, unless that
-    leaves nobody: a fault of ours must not look like one of all.  Those
-    whose weights are too old are left out always.
+    Candidates in backoff or loading weights are left out unless none would
+    remain: a fault of this router must not look like a failure of all
+    upstreams.  Candidates that leave, that are full or whose weights are
+    too old are always left out.
 
     Parameters
     ----------
@@ -184,26 +189,35 @@
     now_s : float
         Monotonic time.
     bound_s : float
-        Time after which no request may begin on superseded weights.
+        Age of superseded weights in seconds at which no request may begin
+        on them.
     """
     staying = [
-        each
-        for each in candidates
-        if not each.upstream.is_leaving
-        and time_to_cutoff_s(each, bound_s, now_s) > 0
+        candidate
+        for candidate in candidates
+        if not candidate.upstream.is_leaving
+        and time_to_cutoff_s(candidate, bound_s, now_s) > 0
     ]
-    awake = [
-        each for each in staying if each.state.backoff_until_s <= now_s
+    healthy = [
+        candidate
+        for candidate in staying
+        if candidate.state.backoff_until_s <= now_s
     ] or staying
     working = [
-        each for each in awake if each.state.avoided_until_s <= now_s
-    ] or awake
+        candidate
+        for candidate in healthy
+        if candidate.state.avoided_until_s <= now_s
+    ] or healthy
     fresh = [
-        each
-        for each in working
-        if each.weights_age_s < LAST_RESORT_AGE_SHARE * bound_s
+        candidate
+        for candidate in working
+        if candidate.weights_age_s < LAST_RESORT_AGE_SHARE * bound_s
     ] or working
-    return [each for each in fresh if each.state.full_until_s <= now_s]
+    return [
+        candidate
+        for candidate in fresh
+        if candidate.state.full_until_s <= now_s
+    ]
 
 
 def choose_backup(
@@ -212,56 +226,56 @@
     engine: model.Engine,
     candidates: Sequence[Candidate],
     now_s: float,
-    speed: speeds.EngineSpeeds = USUAL_SPEEDS,
+    speed: speeds.EngineSpeeds = DEFAULT_SPEEDS,
 ) -> model.Upstream | None:
-    """Return the engine that is to hold a copy of the run's memory.
+    """Return the engine that is to hold a copy of the request's KV cache.
 
-    The least busy one with the same weights, in another zone if there is
-    one: what takes the first engine away may take its zone.  None where
-    copies would crowd out cached parts: on a loaded fleet that costs more
-    answers than crashes do.
+    This is the least busy one with the same weights, in another zone if
+    possible, as a failure may take down a whole zone.  None if copies would
+    evict cached parts: on a loaded fleet that costs more answers than
+    crashes do.
     """
-    room = COPY_MEMORY_SHARE * engine.cache_tokens
+    max_tokens = BACKUP_MEMORY_SHARE * engine.cache_tokens
     chosen = choice.upstream
     others = [
-        each
-        for each in candidates
-        if each.upstream.incarnation != chosen.incarnation
-        and each.upstream.weights == chosen.weights
-        and each.state.backoff_until_s <= now_s
-        and each.state.avoided_until_s <= now_s
-        and (each.requests(now_s) + 1) * prompt.prompt_tokens < room
+        candidate
+        for candidate in candidates
+        if candidate.upstream.incarnation != chosen.incarnation
+        and candidate.upstream.weights == chosen.weights
+        and candidate.state.backoff_until_s <= now_s
+        and candidate.state.avoided_until_s <= now_s
+        and (candidate.requests(now_s) + 1) * prompt.prompt_tokens < max_tokens
     ]
     if not others:
         return None
     best = min(
         others,
-        key=lambda each: (
-            _engine_cost(each, speed, now_s),
-            each.upstream.zone == chosen.zone,
+        key=lambda candidate: (
+            _engine_cost(candidate, speed, now_s),
+            candidate.upstream.zone == chosen.zone,
         ),
     )
     return best.upstream
 
 
 @attrs.define(eq=False)
-class _Held:
-    """What an engine holds of one prompt, and could get.
+class _Option:
+    """What one engine holds of a prompt and could copy.
 
     Parameters
     ----------
     candidate : Candidate
         The engine.
     cached_tokens : int
-        What it holds.
+        Prompt tokens in its cache.
     rank : int
-        Its place among the homes of the prompt's shared parts.
+        Its rendezvous rank for the prompt's shared parts; 0 is the home.
     copy_tokens : int
-        What it could get from `copy_from`.
+        Prompt tokens that it could copy from `copy_from`.
     copy_from : str
         Address of an engine or a store.
     copy_cost : float
-        Of one such token, in tokens that are read.
+        Cost of one copied token, in prefilled tokens.
     """
 
     candidate: Candidate
@@ -272,19 +286,19 @@
     copy_cost: float = 0.0
 
     def missing_tokens(self, prompt: model.Prompt) -> int:
-        """Return what the engine would have to read."""
-        got = self.cached_tokens + self.copy_tokens
-        return max(0, prompt.prompt_tokens - got)
+        """Return the tokens that the engine would have to prefill."""
+        available = self.cached_tokens + self.copy_tokens
+        return max(0, prompt.prompt_tokens - available)
 
 
 def choose_for_prompt(
     prompt: model.Prompt,
-    wall: str,
+    cache_scope: str,
     candidates: Sequence[Candidate],
     index: cache.CacheIndex,
     *,
     store: model.CacheStore | None = None,
-    speed: speeds.EngineSpeeds = USUAL_SPEEDS,
+    speed: speeds.EngineSpeeds = DEFAULT_SPEEDS,
     engines_report_cache: bool = False,
     now_s: float,
 ) -> Choice:
@@ -293,9 +307,9 @@
     Parameters
     ----------
     prompt : model.Prompt
-        What is asked.
-    wall : str
-        Who shares its cache; the empty string for all.
+        The request's prompt.
+    cache_scope : str
+        Who shares the cached parts; the empty string for everybody.
     candidates : sequence of Candidate
         At least one.
     index : cache.CacheIndex
@@ -303,34 +317,41 @@
     store : model.CacheStore or None
         Where the prompt's shared parts may be kept.
     speed : speeds.EngineSpeeds
-        What the engines do in a second.
+        Prefill and copy speeds of the engines.
     engines_report_cache : bool
-        Whether engines tell this router what they drop.
+        Whether engines report evictions to this router.
     now_s : float
         Monotonic time.
     """
-    held = _held(prompt, wall, candidates, index)
-    copying = held if engines_report_cache else _storeless(held, prompt, store)
-    _copy_from_engines(copying, held, speed, now_s)
-    _copy_from_store(held, prompt, wall, store, index, speed)
-    shared_tokens = sum(part.tokens for part in prompt.shared_parts)
-
-    def cost(each: _Held) -> tuple[float, int]:
-        tokens = each.missing_tokens(prompt) + (
-            each.copy_cost * each.copy_tokens
+    options = _options(prompt, cache_scope, candidates, index)
+    copying = (
+        options
+        if engines_report_cache
+        else _without_store(options, prompt, store)
+    )
+    _copy_from_engines(copying, options, speed, now_s)
+    _copy_from_store(options, prompt, cache_scope, store, index, speed)
+    shared_tokens = sum(part.tokens for part in prompt.shared)
+
+    def cost(option: _Option) -> tuple[float, int]:
+        tokens = option.missing_tokens(prompt) + (
+            option.copy_cost * option.copy_tokens
+        )
+        if option.rank == 0:
+            available = option.cached_tokens + option.copy_tokens
+            tokens -= HOME_CREDIT * max(0, shared_tokens - available)
+        return (
+            tokens + _engine_cost(option.candidate, speed, now_s),
+            option.rank,
         )
-        if each.rank == 0:
-            got = each.cached_tokens + each.copy_tokens
-            tokens -= HOME_CREDIT * max(0, shared_tokens - got)
-        return tokens + _engine_cost(each.candidate, speed, now_s), each.rank
 
-    best = min(held, key=cost)
-    home = next(each.candidate for each in held if each.rank == 0)
+    best = min(options, key=cost)
+    home = next(option.candidate for option in options if option.rank == 0)
     return Choice(
         best.candidate.upstream,
         best.missing_tokens(prompt),
         best.copy_tokens,
-        best.copy_from or _guess(best, home, shared_tokens, store),
+        best.copy_from or _likely_source(best, home, shared_tokens, store),
         _save_to(best, shared_tokens, store, now_s),
         f"cached {best.cached_tokens}, copied {best.copy_tokens}, "
         f"rank {best.rank}",
@@ -341,23 +362,23 @@
 def _may_use(store: model.CacheStore | None, candidate: Candidate) -> bool:
     """Whether an engine may use the store.
 
-    Not on weights that have been superseded: an engine that loads new
-    ones under a running request writes parts that belong to neither, and
-    a store keeps a part as it was first made.
+    Not if its weights have been superseded: an engine that loads new ones
+    during a request writes parts that belong to neither version, and a
+    store keeps the first content that it gets for a part.
     """
     return store is not None and candidate.weights_age_s <= 0
 
 
 def _save_to(
-    best: _Held,
+    best: _Option,
     shared_tokens: int,
     store: model.CacheStore | None,
     now_s: float,
 ) -> str:
-    """Return where the engine is to keep the shared parts it will read.
+    """Return where the engine is to save the shared parts it prefills.
 
-    Nowhere if requests wait there: read seconds from now, the prompt may
-    meet a change of weights that nobody knows of yet.
+    Empty if requests wait there: a prompt that is prefilled seconds from
+    now may overlap with a change of weights that is not known yet.
     """
     has_all = best.cached_tokens >= shared_tokens
     is_kept = store is not None and best.copy_from == store.address
@@ -368,18 +389,18 @@
     return store.address
 
 
-def _guess(
-    best: _Held,
+def _likely_source(
+    best: _Option,
     home: Candidate,
     shared_tokens: int,
     store: model.CacheStore | None,
 ) -> str:
-    """Return the address of what may hold the parts, though nobody tells.
+    """Return the address of a source that may hold the parts unreported.
 
-    Events come late or not at all, and other routers' first readers are
-    not seen here; a question in vain takes a millisecond.  So the store is
-    asked also where the engine is believed to hold all shared parts: it
-    may have dropped them since.
+    Cache events arrive late or not at all, and this router does not see
+    the prompts that others send; a lookup in vain takes a millisecond.  The
+    store is named even if the engine is believed to hold all shared parts,
+    as it may have evicted them since.
     """
     has_all = best.cached_tokens >= shared_tokens
     if shared_tokens and _may_use(store, best.candidate):
@@ -394,153 +415,174 @@
     return home.upstream.address
 
 
-def _ranks(prompt, wall, candidates) -> dict[str, int]:
-    names = [each.upstream.incarnation for each in candidates]
-    if prompt.shared_parts:
-        names = rendezvous.ranked(stores.rendezvous_key(prompt, wall), names)
+def _ranks(prompt, cache_scope, candidates) -> dict[str, int]:
+    names = [candidate.upstream.incarnation for candidate in candidates]
+    if prompt.shared:
+        names = rendezvous.ranked(
+            stores.rendezvous_key(prompt, cache_scope), names
+        )
     return {name: rank for rank, name in enumerate(names)}
 
 
-def _salts(prompt: model.Prompt, wall: str, candidates) -> dict[int, str]:
-    """Return the salts by version; None for weights that are not named."""
-    versions = {each.upstream.weights.get(prompt.model) for each in candidates}
-    return {version: cache.make_salt(wall, version) for version in versions}
+def _salts(
+    prompt: model.Prompt, cache_scope: str, candidates
+) -> dict[int, str]:
+    """Return cache salts by weights version; None if it is not known."""
+    versions = {
+        candidate.upstream.weights.get(prompt.model)
+        for candidate in candidates
+    }
+    return {
+        version: cache.make_salt(cache_scope, version) for version in versions
+    }
 
 
-def _held(prompt, wall, candidates, index) -> list[_Held]:
-    ranks = _ranks(prompt, wall, candidates)
-    salts = _salts(prompt, wall, candidates)
-    found = []
-    for each in candidates:
-        name = each.upstream.incarnation
-        salt = salts[each.upstream.weights.get(prompt.model)]
+def _options(prompt, cache_scope, candidates, index) -> list[_Option]:
+    ranks = _ranks(prompt, cache_scope, candidates)
+    salts = _salts(prompt, cache_scope, candidates)
+    options = []
+    for candidate in candidates:
+        name = candidate.upstream.incarnation
+        salt = salts[candidate.upstream.weights.get(prompt.model)]
         tokens = index.cached_tokens(name, salt, prompt.parts)
-        found.append(_Held(each, tokens, ranks[name]))
-    return found
+        options.append(_Option(candidate, tokens, ranks[name]))
+    return options
 
 
 def _sources(
-    held: list[_Held], now_s: float
-) -> dict[frozenset[tuple[str, int]], list[_Held]]:
-    """Return the two engines that hold most, by weights.
+    options: list[_Option], now_s: float
+) -> dict[frozenset[tuple[str, int]], list[_Option]]:
+    """Return the two engines that hold most of the prompt, by weights.
 
-    Two, as an engine does not copy from itself.  Looked for once a prompt:
-    for each engine among all, it took most of a router's time before a
-    hundred engines.
+    Two, as an engine does not copy from itself.  Computed once per prompt:
+    a search among all engines for each of them took most of a router's time
+    at fewer than a hundred engines.
     """
-    sources: dict[frozenset[tuple[str, int]], list[_Held]] = {}
-    for each in held:
-        state = each.candidate.state
+    sources: dict[frozenset[tuple[str, int]], list[_Option]] = {}
+    for option in options:
+        state = option.candidate.state
         if (
-            each.cached_tokens
+            option.cached_tokens
             and not state.failures_in_row
             and state.avoided_until_s <= now_s
         ):
-            weights = each.candidate.upstream.weights_key
-            sources.setdefault(weights, []).append(each)
+            weights = option.candidate.upstream.weights_key
+            sources.setdefault(weights, []).append(option)
     return {
-        weights: heapq.nlargest(2, found, key=lambda one: one.cached_tokens)
-        for weights, found in sources.items()
+        weights: heapq.nlargest(
+            2, holders, key=lambda holder: holder.cached_tokens
+        )
+        for weights, holders in sources.items()
     }
 
 
-def _storeless(
-    held: list[_Held], prompt: model.Prompt, store: model.CacheStore | None
-) -> list[_Held]:
-    """Return the engines that have no store to fetch shared parts from.
+def _without_store(
+    options: list[_Option],
+    prompt: model.Prompt,
+    store: model.CacheStore | None,
+) -> list[_Option]:
+    """Return the options with no store to fetch shared parts from.
 
-    Failure: engines do not tell what they drop, and one is named as the
-    source of parts that it was seen to read seconds ago.  Symptom: it has
-    dropped them since, and the prompt is read again, though the store has
-    it: only one source can be named.
+    Used where engines do not report evictions.  An engine that prefilled
+    the parts seconds ago may have evicted them since; as only one source
+    can be named, the prompt would then be prefilled again although the
+    store has it.
     """
-    if not prompt.shared_parts:
-        return held
-    return [each for each in held if not _may_use(store, each.candidate)]
+    if not prompt.shared:
+        return options
+    return [
+        option for option in options if not _may_use(store, option.candidate)
+    ]
 
 
 def _copy_from_engines(
-    copying: list[_Held],
-    held: list[_Held],
+    copying: list[_Option],
+    options: list[_Option],
     speed: speeds.EngineSpeeds,
     now_s: float,
 ) -> None:
-    """Note for each engine that copies the one that holds most for it."""
+    """Set the source of each option that copies to the best other engine."""
     if not copying:
         return
-    sources = _sources(held, now_s)
+    sources = _sources(options, now_s)
     if not sources:
         return
     costs = {
         is_same: speed.copy_cost(same_zone=is_same)
         for is_same in (True, False)
     }
-    for each in copying:
-        most = sources.get(each.candidate.upstream.weights_key)
-        if most is None or most == [each]:
+    for option in copying:
+        holders = sources.get(option.candidate.upstream.weights_key)
+        if holders is None or holders == [option]:
             continue
-        source = most[0] if most[0] is not each else most[1]
-        copied = source.cached_tokens - each.cached_tokens
-        if copied < LEAST_COPY_TOKENS:
+        source = holders[0] if holders[0] is not option else holders[1]
+        copied = source.cached_tokens - option.cached_tokens
+        if copied < MIN_COPY_TOKENS:
             continue
         upstream = source.candidate.upstream
-        each.copy_tokens = copied
-        each.copy_from = upstream.address
-        each.copy_cost = costs[upstream.zone == each.candidate.upstream.zone]
+        option.copy_tokens = copied
+        option.copy_from = upstream.address
+        option.copy_cost = costs[
+            upstream.zone == option.candidate.upstream.zone
+        ]
 
 
 def _copy_from_store(
-    held: list[_Held],
+    options: list[_Option],
     prompt: model.Prompt,
-    wall: str,
+    cache_scope: str,
     store: model.CacheStore | None,
     index: cache.CacheIndex,
     speed: speeds.EngineSpeeds,
 ) -> None:
-    """Note the store instead for the engines for which it holds more."""
+    """Set the source of options to the store where it holds more."""
     if store is None:
         return
-    kept = {
+    stored_tokens = {
         version: index.cached_tokens(store.address, salt, prompt.parts)
         for version, salt in _salts(
-            prompt, wall, (each.candidate for each in held)
+            prompt, cache_scope, (option.candidate for option in options)
         ).items()
     }
-    if not any(kept.values()):
+    if not any(stored_tokens.values()):
         return
     costs = {
         is_same: speed.store_cost(same_zone=is_same)
         for is_same in (True, False)
     }
-    for each in held:
-        if not _may_use(store, each.candidate):
+    for option in options:
+        if not _may_use(store, option.candidate):
             continue
-        upstream = each.candidate.upstream
-        fetched = kept[upstream.weights.get(prompt.model)] - each.cached_tokens
-        if fetched < max(LEAST_COPY_TOKENS, each.copy_tokens + 1):
+        upstream = option.candidate.upstream
+        fetched = (
+            stored_tokens[upstream.weights.get(prompt.model)]
+            - option.cached_tokens
+        )
+        if fetched < max(MIN_COPY_TOKENS, option.copy_tokens + 1):
             continue
-        each.copy_tokens = fetched
-        each.copy_from = store.address
-        each.copy_cost = costs[store.zone == upstream.zone]
+        option.copy_tokens = fetched
+        option.copy_from = store.address
+        option.copy_cost = costs[store.zone == upstream.zone]
 
 
 def _engine_cost(
-    each: Candidate, speed: speeds.EngineSpeeds, now_s: float
+    candidate: Candidate, speed: speeds.EngineSpeeds, now_s: float
 ) -> float:
-    state = each.state
-    running = each.requests(now_s)
-    cost_s = RUNNING_S * running
-    beyond = running - FULL_SHARE * max(1, each.upstream.slots)
+    """Return the cost of an engine's queue and state, in prefilled tokens."""
+    state = candidate.state
+    running = candidate.requests(now_s)
+    cost_s = RUNNING_COST_S * running
+    beyond = running - FULL_SHARE * max(1, candidate.upstream.slots)
     if beyond > 0:
-        cost_s += WAITING_S * beyond
+        cost_s += WAITING_COST_S * beyond
     if state.failure_share:
-        cost_s += 5 * FAILURE_S * state.failure_share**2
-    if each.weights_age_s > OLD_AFTER_S:
-        cost_s += OLD_WEIGHTS_S
-    elif each.weights_age_s > 0:
-        cost_s += SUPERSEDED_S
-    unread = state.prefill_tokens + each.peer_prefill_tokens
-    return unread + cost_s * speed.read_tokens_per_s
+        cost_s += 5 * FAILURE_COST_S * state.failure_share**2
+    if candidate.weights_age_s > STALE_AFTER_S:
+        cost_s += STALE_WEIGHTS_COST_S
+    elif candidate.weights_age_s > 0:
+        cost_s += SUPERSEDED_WEIGHTS_COST_S
+    queued_tokens = state.prefill_tokens + candidate.peer_prefill_tokens
+    return queued_tokens + cost_s * speed.prefill_tokens_per_s
 
 
 def choose_for_plain(
@@ -561,14 +603,15 @@
     now_s : float
         Monotonic time.
     rng : random.Random
-        Breaks ties: else all routers would pick the same one at once.
+        Breaks ties; otherwise all routers would choose the same upstream
+        at once.
     """
 
-    def cost(each: Candidate) -> tuple[float, float]:
-        share = each.requests(now_s) / max(1, each.upstream.slots)
-        if each.upstream.zone != zone:
+    def cost(candidate: Candidate) -> tuple[float, float]:
+        share = candidate.requests(now_s) / max(1, candidate.upstream.slots)
+        if candidate.upstream.zone != zone:
             share += ZONE_SHARE
-        return share + 5 * each.state.failure_share, rng.random()
+        return share + 5 * candidate.state.failure_share, rng.random()
 
     best = min(candidates, key=cost)
     return Choice(best.upstream, reason="load", candidates=len(candidates))
--- a/toucanrudder/forwarding/speeds.py
+++ b/toucanrudder/forwarding/speeds.py
@@ -98,7 +98,7 @@
 
     Parameters
     ----------
-    read_tokens_per_s : float
+    prefill_tokens_per_s : float
         Prompt tokens that one reads.
     copy_token_s : float
         Seconds for a token from another engine in the same zone.
@@ -106,13 +106,13 @@
         The same from a store of cached parts.
     """
 
-    read_tokens_per_s: float = PRIOR_TOKENS_PER_S
+    prefill_tokens_per_s: float = PRIOR_TOKENS_PER_S
     copy_token_s: float = PRIOR_COPY_S
     store_token_s: float = PRIOR_STORE_S
 
     def tokens(self, seconds: float) -> float:
         """Return what an engine reads in that time."""
-        return seconds * self.read_tokens_per_s
+        return seconds * self.prefill_tokens_per_s
 
     def copy_cost(self, *, same_zone: bool) -> float:
         """Return the cost of a copied token in tokens that are read.
@@ -134,7 +134,7 @@
 def engine_speeds(
     engine: model.Engine | None,
     store: model.CacheStore | None,
-    read_tokens_per_s: float,
+    prefill_tokens_per_s: float,
 ) -> EngineSpeeds:
     """Return the speeds that follow from the configuration.
 
@@ -153,7 +153,7 @@
         return token_bits / link.link_bits_per_s
 
     return EngineSpeeds(
-        read_tokens_per_s,
+        prefill_tokens_per_s,
         copy_token_s=token_s(engine, PRIOR_COPY_S),
         store_token_s=token_s(store, PRIOR_STORE_S),
     )
--- a/toucanrudder/forwarding/tests/test_placing_cost.py
+++ b/toucanrudder/forwarding/tests/test_placing_cost.py
@@ -147,7 +147,7 @@
         tokens = held_by(state, other.upstream.incarnation, version_of(other))
         if tokens > most:
             best, most = other, tokens
-    if best is not None and most - cached >= placing.LEAST_COPY_TOKENS:
+    if best is not None and most - cached >= placing.MIN_COPY_TOKENS:
         same_zone = best.upstream.zone == each.upstream.zone
         option = Option(
             each,
@@ -159,7 +159,7 @@
     if state.store is None or each.weights_age_s > 0:
         return option
     fetched = held_by(state, state.store.address, version_of(each)) - cached
-    if fetched < max(placing.LEAST_COPY_TOKENS, option.copied + 1):
+    if fetched < max(placing.MIN_COPY_TOKENS, option.copied + 1):
         return option
     same_zone = state.store.zone == each.upstream.zone
     return Option(
--- a/toucanrudder/soak/mutants.py
+++ b/toucanrudder/soak/mutants.py
@@ -99,7 +99,7 @@
     Mutant(
         "a leaving upstream still gets work",
         "forwarding/placing.py",
-        "if not each.upstream.is_leaving\n",
+        "if not candidate.upstream.is_leaving\n",
         "if True\n",
     ),
     Mutant(
