--- a/toucanrudder/forwarding/orders.py
+++ b/toucanrudder/forwarding/orders.py
@@ -374,7 +374,7 @@
         self, task: rollout.LoadTask, given: rollout.PendingOrder
     ) -> bool:
         """Count an engine that answers among those that load, if it may."""
-        if not given.has_place:
+        if not given.holds_slot:
             engines = [
                 each
                 for each in self._state.registry.for_service(
@@ -383,7 +383,7 @@
                 if not each.is_leaving
             ]
             age_s = self._age_s(task)
-            given.has_place = (
+            given.holds_slot = (
                 rollout.free_slots(
                     engines,
                     self._given,
@@ -393,7 +393,7 @@
                 )
                 > 0
             )
-        return given.has_place
+        return given.holds_slot
 
     def _note_answer(
         self, task: rollout.LoadTask, report: rollout.EngineReport | None
--- a/toucanrudder/forwarding/rollout.py
+++ b/toucanrudder/forwarding/rollout.py
@@ -1,4 +1,4 @@
-"""Which engine is to load which weights next.  No I/O."""
+"""Plans which engines load which weights next.  No I/O."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -11,34 +11,33 @@
 
 from toucanrudder.forwarding import model
 
-#: Part of a service's engines that load at once, while there is time and
-#: when weights are getting too old.  More would take too much capacity
-#: out, and engines that load together share the source of the weights and
-#: get slower.
+#: Fraction of a service's engines that load at once: normally, and when
+#: weights are urgent (see `Pace`).  More would remove too much capacity, and
+#: engines that load together share the bandwidth of the weights' source.
 LOADING_SHARE = 1 / 5
-URGENT_SHARE = 1 / 3
+URGENT_LOADING_SHARE = 1 / 3
 
-#: After this long without a sign that an order is being carried out, the
-#: engine may be given another.  An engine loads in well under a second
-#: once its requests have ended, which takes a few.
+#: Time after which an order that shows no effect is given up and the
+#: engine may get another.  An engine loads in well under a second once its
+#: requests have ended, which takes a few.
 ORDER_TIMEOUT_S = 4.0
 
 
-#: Part of the time within which engines must follow, from which an engine
-#: goes before less busy ones: it needs up to three eighths of the usual
-#: eight seconds to end its requests and load, and may wait as long for
-#: those before it.
+#: Fraction of the bound from which an engine goes before less busy ones:
+#: it needs up to three eighths of the default eight seconds to finish its
+#: requests and load, and may wait as long for the engines before it.
 URGENT_AGE_SHARE = 0.31
 
 
 @attrs.frozen
 class Pace:
-    """How fast engines must follow new weights.
+    """How fast engines must load new weights.
 
     Parameters
     ----------
     bound_s : float
-        Time after which no request may begin on older ones.
+        Seconds after new weights are named at which no request may begin
+        on older ones.
 
     Examples
     --------
@@ -50,56 +49,56 @@
 
     @property
     def urgent_s(self) -> float:
-        """Age of weights from which their engine goes before others."""
+        """Age in seconds of weights whose engine goes before others."""
         return URGENT_AGE_SHARE * self.bound_s
 
 
 DEFAULT_PACE = Pace()
 
 
-#: Requests running on an engine from which it is not waited until they
-#: have ended.
-KEEP_FROM = 3
+#: Fewest running requests with which an engine loads without waiting for
+#: them to end.
+KEEP_MIN_RUNNING = 3
 
 
 class Mode(enum.Enum):
-    """What becomes of an engine's requests when it loads weights."""
+    """What happens to an engine's requests when it loads weights."""
 
-    #: They end first; until then nothing new begins.
+    #: They finish first; until then no new request begins.
     WAIT = "wait"
-    #: They go on under the new weights.
+    #: They continue on the new weights.
     KEEP = "keep"
 
 
-#: Events that may be on their way when an engine reports.
-EVENTS_ON_THEIR_WAY = 1
+#: Most events of one request that may be in flight when an engine reports.
+MAX_EVENTS_IN_FLIGHT = 1
 
 
 @attrs.frozen
 class EngineReport:
-    """What an engine says of itself.
+    """An engine's report on its weights and load.
 
     Parameters
     ----------
     weights : mapping of str to int
         Version by model.
     is_busy : bool
-        Whether an order is being carried out.
+        Whether it is carrying out an order.
     orders : int
-        Number of orders that it has accepted; an order that names the
-        number it expects is not carried out after a later one.
+        Number of orders that it has accepted.  An order names the number
+        that it expects, so it is rejected if a later one came first.
     running : int
-        Requests that it runs.
+        Running requests.
     reading : int
-        Those of them whose prompts it is still reading.
+        Running requests whose prompts are still being prefilled.
     waiting : int
-        Requests that it has not begun to run.
+        Queued requests.
     events : mapping of str to int
-        Events made so far, by the identity of each running request.
+        Number of events sent so far, by ID of the running request.
     memory_share : float
-        Part of its memory that running requests take.
+        Fraction of its memory that running requests use.
     born_ms : int
-        Unix time of its start; 0 if it does not say.
+        Unix time of its start in ms; 0 if unknown.
     """
 
     weights: dict[str, int]
@@ -113,14 +112,14 @@
     born_ms: int = 0
 
     def has_lost_events(self, request_id: str, received: int) -> bool:
-        """Say whether events of a request were made that never arrived.
+        """Return whether the engine sent events that never arrived.
 
         Parameters
         ----------
         request_id : str
             A request that was sent there.
         received : int
-            Events of its answer that have arrived.
+            Number of events of its answer that have arrived.
 
         Examples
         --------
@@ -133,29 +132,29 @@
         >>> EngineReport({}, waiting=1).has_lost_events("r", 5)
         False
         """
-        made = self.events.get(request_id)
-        if made is None:
-            # It has ended, so far as the report is not too old, unless it
-            # is one of those that wait.
+        sent = self.events.get(request_id)
+        if sent is None:
+            # The request has ended, unless it is queued or the report is
+            # older than the request.
             return not self.waiting
-        return made > received + EVENTS_ON_THEIR_WAY
+        return sent > received + MAX_EVENTS_IN_FLIGHT
 
 
-#: Longest time for which an engine gets no new work before its order:
-#: with prompts read in 0.2 to 0.5 s and answers made in two to three, the
-#: runs that an order would spoil are then few.
+#: Longest time for which an engine gets no new work before its order.
+#: With prefills of 0.2 to 0.5 s and answers of two to three seconds, few
+#: requests that the order would spoil are then left.
 MAX_DRAIN_S = 1.0
 
-#: The same while prompts are still being read.
+#: The same while prompts are still being prefilled.
 MAX_PREFILL_WAIT_S = 1.8
 
-#: The same once weights are urgent (see `Pace`): a prompt is read by
+#: The same once weights are urgent (see `Pace`): a prompt is prefilled by
 #: then unless it waits for memory.
 URGENT_PREFILL_WAIT_S = 0.5
 
-#: Part of an engine's memory in use from which it is loaded: what it does
-#: not do then, no other engine can do for it.
-LOADED_SHARE = 0.8
+#: Fraction of an engine's memory in use from which it counts as loaded: no
+#: other engine has room for the work that it does not do then.
+HIGH_MEMORY_SHARE = 0.8
 
 
 def waits_for_requests(
@@ -164,28 +163,28 @@
     age_s: float,
     pace: Pace = DEFAULT_PACE,
 ) -> bool:
-    """Say whether the order waits until more of its requests have ended.
+    """Return whether an order waits until more requests have ended.
 
-    On a quiet fleet others take the work meanwhile: requests that change
-    weights on their way cost 0.087 of a quiet day's worth without waiting
-    and 0.021 with it.  On a loaded one it costs more than it saves: 0.79
-    to 0.75 of the worth served in a day of high load.
+    On a lightly loaded fleet other engines take the work meanwhile, and
+    fewer requests change weights midway: these cost 0.021 of a quiet day's
+    worth with waiting and 0.087 without.  Under high load waiting costs more
+    than it saves: 0.75 of the day's worth is served, against 0.79.
 
-    Where weights are urgent there is no time for it.  After a holder of
-    the lease has frozen, its successor begins with engines that are some
-    five seconds behind; a second's wait on each made the last one answer
-    on weights that had been superseded for more than eight.
+    Urgent weights leave no time for it.  After a lease holder has frozen,
+    its successor starts with engines some five seconds behind; waiting a
+    second on each let the last one answer on weights superseded for more
+    than eight.
 
     Parameters
     ----------
     report : EngineReport
-        What the engine says.
+        The engine's newest report.
     waited_s : float
-        For how long it has got no new work.
+        Seconds for which it has got no new work.
     age_s : float
-        For how long its weights have been superseded.
+        Seconds since its weights were superseded.
     pace : Pace
-        How fast engines must follow.
+        How fast engines must load new weights.
 
     Examples
     --------
@@ -200,32 +199,32 @@
         return waited_s < (
             URGENT_PREFILL_WAIT_S if is_urgent else MAX_PREFILL_WAIT_S
         )
-    if is_urgent or report.memory_share >= LOADED_SHARE:
+    if is_urgent or report.memory_share >= HIGH_MEMORY_SHARE:
         return False
-    return report.running >= KEEP_FROM and waited_s < MAX_DRAIN_S
+    return report.running >= KEEP_MIN_RUNNING and waited_s < MAX_DRAIN_S
 
 
 def load_mode(report: EngineReport) -> Mode:
-    """Return how an engine is to load.
+    """Return what an engine does with its requests when it loads.
 
-    An engine that waits takes nothing new until its slowest request has
-    ended: with many of them that is two to four seconds of an engine's
-    work, with few some hundred milliseconds.  What requests make after
-    the change is worth nothing, which is half of their answers.
+    An engine that waits takes no new request until its slowest one has
+    ended: with many of them this loses two to four seconds of the engine's
+    work, with few some hundred milliseconds.  If it does not wait, the
+    output after the change, half of the answers, is worth nothing.
 
-    A prompt that is being read while weights change would leave parts
-    that were made on the new weights under the old ones' name, in the
-    engine and in the store of kept parts, and others would answer from
-    them.  So an engine that reads waits.
+    If weights change during a prefill, parts computed on the new weights
+    are cached under the old version, in the engine and in the part store,
+    and other requests would answer from them.  So an engine that prefills
+    waits.
     """
-    if report.reading or report.running < KEEP_FROM:
+    if report.reading or report.running < KEEP_MIN_RUNNING:
         return Mode.WAIT
     return Mode.KEEP
 
 
 @attrs.frozen
 class LoadTask:
-    """An engine that lacks the newest weights of a model."""
+    """A version of a model's weights that an engine has yet to load."""
 
     upstream: model.Upstream
     model: str
@@ -233,33 +232,33 @@
 
     @property
     def key(self) -> tuple[str, str, int]:
-        """What tells it from all other work."""
+        """Unique key of the task."""
         return self.upstream.incarnation, self.model, self.version
 
 
 @attrs.define
 class PendingOrder:
-    """An order that is being given, or has not shown its effect.
+    """An order that is being sent or carried out.
 
     Parameters
     ----------
     version : int
         Weights that the engine is to load.
     at_s : float
-        Monotonic time of the last step.
-    has_place : bool
-        Whether the engine counts among those that load at once.
+        Monotonic time of its last progress.
+    holds_slot : bool
+        Whether the engine counts towards the concurrent loads.
     """
 
     version: int
     at_s: float
-    has_place: bool = True
+    holds_slot: bool = True
 
 
 def outstanding_tasks(
     upstreams: Iterable[model.Upstream], newest: Mapping[str, int]
 ) -> list[LoadTask]:
-    """Return what is left to do; engines that leave need no new weights.
+    """Return the loads that are left; engines that leave need none.
 
     Examples
     --------
@@ -286,11 +285,11 @@
     Parameters
     ----------
     engines : int
-        Engines that stay.
+        Number of engines that do not leave.
     oldest_s : float
-        Age of the oldest weights among them.
+        Age in seconds of the oldest weights among them.
     pace : Pace
-        How fast engines must follow.
+        How fast engines must load new weights.
 
     Examples
     --------
@@ -299,23 +298,23 @@
     >>> max_concurrent_loads(1, 0.0)
     1
     """
-    share = URGENT_SHARE if oldest_s > pace.urgent_s else LOADING_SHARE
+    share = URGENT_LOADING_SHARE if oldest_s > pace.urgent_s else LOADING_SHARE
     return max(1, math.ceil(engines * share))
 
 
-def _under_way(
-    given: Mapping[str, PendingOrder], now_s: float
+def _in_progress(
+    pending: Mapping[str, PendingOrder], now_s: float
 ) -> dict[str, PendingOrder]:
     return {
         name: order
-        for name, order in given.items()
+        for name, order in pending.items()
         if now_s - order.at_s < ORDER_TIMEOUT_S
     }
 
 
 def free_slots(
     engines: Iterable[model.Upstream],
-    given: Mapping[str, PendingOrder],
+    pending: Mapping[str, PendingOrder],
     oldest_s: float,
     now_s: float,
     pace: Pace = DEFAULT_PACE,
@@ -325,58 +324,58 @@
     Parameters
     ----------
     engines : iterable of model.Upstream
-        Those that stay.
-    given : mapping of str to PendingOrder
-        Orders under way, by incarnation.
+        Those that do not leave.
+    pending : mapping of str to PendingOrder
+        Orders in progress, by incarnation.
     oldest_s : float
-        Age of the oldest weights among the engines.
+        Age in seconds of the oldest weights among the engines.
     now_s : float
         Monotonic time.
     pace : Pace
-        How fast engines must follow.
+        How fast engines must load new weights.
 
     Examples
     --------
     >>> engines = [model.Upstream(f"i{n}", "s", "") for n in range(10)]
-    >>> given = {
+    >>> pending = {
     ...     "i1": PendingOrder(2, 0.0),
-    ...     "i2": PendingOrder(2, 0.0, has_place=False),
+    ...     "i2": PendingOrder(2, 0.0, holds_slot=False),
     ... }
-    >>> free_slots(engines, given, 0.0, now_s=0.5)
+    >>> free_slots(engines, pending, 0.0, now_s=0.5)
     1
     """
-    names = {each.incarnation for each in engines}
-    taken = sum(
-        order.has_place
-        for name, order in _under_way(given, now_s).items()
+    names = {engine.incarnation for engine in engines}
+    used = sum(
+        order.holds_slot
+        for name, order in _in_progress(pending, now_s).items()
         if name in names
     )
-    return max_concurrent_loads(len(names), oldest_s, pace) - taken
+    return max_concurrent_loads(len(names), oldest_s, pace) - used
 
 
 def plan_orders(
     upstreams: Iterable[model.Upstream],
     newest: Mapping[str, int],
-    given: Mapping[str, PendingOrder],
-    busy: Mapping[str, float],
+    pending: Mapping[str, PendingOrder],
+    requests: Mapping[str, float],
     age_s: Callable[[LoadTask], float],
     now_s: float,
     pace: Pace = DEFAULT_PACE,
     stuck: Mapping[str, float] = types.MappingProxyType({}),
 ) -> list[LoadTask]:
-    """Return the orders to give now, the cheapest engines first.
+    """Return the orders to give now, the least busy engines first.
 
-    Engines whose weights are getting too old go before all others: where
-    versions follow each other faster than engines can load them, a busy
-    one would be passed over each time.
+    Engines with urgent weights go before all others: if versions follow
+    each other faster than engines can load them, a busy one would be passed
+    over each time.
 
-    Engines that could not be ordered when last asked are asked again beside
-    those that have a place.  Failure: some are silent.  They have no work,
-    so they would be the cheapest, and take a place until a call has timed
-    out, again and again.  Symptom: with as many of them as places, no other
-    engine is ever ordered.  As it is, each takes a place from another only
-    once, and goes on as soon as it answers.  No more are asked than may
-    load, those first that were asked longest ago.
+    Engines that could not be ordered when last asked are asked again
+    without a load slot.  Engines that do not answer have no work; chosen as
+    the least busy they would each hold a slot until a call has timed out,
+    again and again, and as many of them as slots would block all others.
+    Now each of them holds a slot only once and gets one as soon as it
+    answers.  At most as many are asked as may load, the one asked longest
+    ago first.
 
     Parameters
     ----------
@@ -384,43 +383,44 @@
         The engines of one service.
     newest : mapping of str to int
         Newest version by model.
-    given : mapping of str to PendingOrder
-        Orders under way, by incarnation.
-    busy : mapping of str to float
-        How much work an engine has, by incarnation.
+    pending : mapping of str to PendingOrder
+        Orders in progress, by incarnation.
+    requests : mapping of str to float
+        Number of requests at each engine, by incarnation.
     age_s : callable
-        For how long an engine's weights have been superseded.
+        Returns the seconds since the weights of a task's engine were
+        superseded.
     now_s : float
         Monotonic time.
     pace : Pace
-        How fast engines must follow.
+        How fast engines must load new weights.
     stuck : mapping of str to float
-        Engines that could not be ordered, by incarnation, and when each
-        was last asked.
+        Monotonic time of the last question to each engine that could not
+        be ordered, by incarnation.
     """
-    engines = [each for each in upstreams if not each.is_leaving]
-    under_way = _under_way(given, now_s)
+    engines = [engine for engine in upstreams if not engine.is_leaving]
+    in_progress = _in_progress(pending, now_s)
     open_tasks = [
         task
         for task in outstanding_tasks(engines, newest)
-        if task.upstream.incarnation not in under_way
+        if task.upstream.incarnation not in in_progress
     ]
     oldest_s = max(map(age_s, open_tasks), default=0.0)
-    free = free_slots(engines, given, oldest_s, now_s, pace)
-    asked = sorted(
-        (t for t in open_tasks if t.upstream.incarnation in stuck),
+    free = free_slots(engines, pending, oldest_s, now_s, pace)
+    stuck_tasks = sorted(
+        (task for task in open_tasks if task.upstream.incarnation in stuck),
         key=lambda task: stuck[task.upstream.incarnation],
     )
-    asking = sum(not order.has_place for order in under_way.values())
-    may_ask = max_concurrent_loads(len(engines), oldest_s, pace) - asking
+    asking = sum(not order.holds_slot for order in in_progress.values())
+    max_asked = max_concurrent_loads(len(engines), oldest_s, pace) - asking
     open_tasks = [
         task for task in open_tasks if task.upstream.incarnation not in stuck
     ]
     open_tasks.sort(
         key=lambda task: (
             -max(0.0, age_s(task) - pace.urgent_s),
-            busy.get(task.upstream.incarnation, 0.0),
+            requests.get(task.upstream.incarnation, 0.0),
             task.upstream.incarnation,
         )
     )
-    return open_tasks[: max(0, free)] + asked[: max(0, may_ask)]
+    return open_tasks[: max(0, free)] + stuck_tasks[: max(0, max_asked)]
--- a/toucanrudder/forwarding/routing.py
+++ b/toucanrudder/forwarding/routing.py
@@ -1,4 +1,4 @@
-"""Which route, organisation and service a call belongs to.  No I/O."""
+"""Matches calls to routes, organisations and services.  No I/O."""
 
 import random
 
@@ -12,7 +12,19 @@
 
 @attrs.frozen
 class RouteMatch:
-    """A call with all that the configuration says of it."""
+    """A call with the route and organisation that it matched.
+
+    Parameters
+    ----------
+    call : model.Call
+        The request.
+    route : model.Route
+        Its route.
+    organisation : model.Organisation or None
+        Its sender; None on a public route or without configured keys.
+    rank : int
+        Its place in the order of urgency; 0 is the most urgent.
+    """
 
     call: model.Call
     route: model.Route
@@ -23,11 +35,11 @@
 def _urgency(
     organisation_priority: int | None, route_priority: int
 ) -> tuple[int, int]:
-    """Return what requests are ordered by, the most urgent first.
+    """Return the sort key of requests, the most urgent first.
 
-    An organisation's own priority goes before its routes'.  Among its
-    requests the routes' decide: without that, quick lookups of an
-    organisation wait behind its long documents.
+    An organisation's own priority comes before that of its routes; the
+    route's priority orders the requests of one organisation.  Otherwise its
+    quick lookups would wait behind its long documents.
     """
     if organisation_priority is None:
         return route_priority, route_priority
@@ -37,11 +49,17 @@
 def _ranks(
     configuration: model.Configuration,
 ) -> dict[tuple[int, int], int]:
-    """Return the place of each urgency that the configuration allows."""
-    levels = {each.priority for each in configuration.organisations} | {None}
-    priorities = {each.priority for each in configuration.routes}
-    found = {_urgency(level, each) for level in levels for each in priorities}
-    return {urgency: rank for rank, urgency in enumerate(sorted(found))}
+    """Return the rank of each urgency that the configuration allows."""
+    levels = {
+        organisation.priority for organisation in configuration.organisations
+    } | {None}
+    priorities = {route.priority for route in configuration.routes}
+    urgencies = {
+        _urgency(level, priority)
+        for level in levels
+        for priority in priorities
+    }
+    return {urgency: rank for rank, urgency in enumerate(sorted(urgencies))}
 
 
 class RoutingTable:
@@ -50,35 +68,36 @@
     Parameters
     ----------
     configuration : model.Configuration
-        What is in force.
+        The configuration in force.
     """
 
     def __init__(self, configuration: model.Configuration):
         self.configuration = configuration
         self._by_host: dict[str, dict[str, model.Route]] = {}
         for route in configuration.routes:
-            of_host = self._by_host.setdefault(route.host, {})
-            of_host[route.path_prefix] = route
+            by_prefix = self._by_host.setdefault(route.host, {})
+            by_prefix[route.path_prefix] = route
         self._by_key = {
             key: organisation
             for organisation in configuration.organisations
             for key in organisation.api_keys
         }
         self._organisations = {
-            each.name: each for each in configuration.organisations
+            organisation.name: organisation
+            for organisation in configuration.organisations
         }
         self._ranks = _ranks(configuration)
 
     def organisation(self, name: str) -> model.Organisation | None:
-        """Return an organisation by its name."""
+        """Return the organisation with this name."""
         return self._organisations.get(name)
 
     def route(self, host: str, path: str) -> model.Route | None:
         """Return the route with the longest prefix of the path.
 
-        Prefixes begin and end with a slash, so the candidates are the
-        beginnings of the path that end with one: a few look-ups, however
-        many routes there are.
+        Path prefixes begin and end with a slash, so only the prefixes of
+        the path that end with one are looked up: the cost does not depend
+        on the number of routes.
 
         Examples
         --------
@@ -91,24 +110,25 @@
         >>> table.route("h", "/x") is None
         True
         """
-        of_host = self._by_host.get(host)
-        if not of_host:
+        by_prefix = self._by_host.get(host)
+        if not by_prefix:
             return None
         end = path.rfind("/")
         while end >= 0:
-            found = of_host.get(path[: end + 1])
-            if found is not None:
-                return found
+            route = by_prefix.get(path[: end + 1])
+            if route is not None:
+                return route
             end = path.rfind("/", 0, end)
         return None
 
     def match(self, call: model.Call) -> RouteMatch:
-        """Return what the configuration says of the call.
+        """Return the route, organisation and rank of the call.
 
         Raises
         ------
         RudderError
-            ``not_found`` or ``unauthorized``.
+            ``not_found``: no route matches; ``unauthorized``: the API key is
+            unknown.
         """
         route = self.route(call.host, call.path)
         if route is None:
@@ -120,28 +140,28 @@
         organisation = self._by_key.get(call.api_key or "")
         if organisation is None:
             raise errors.RudderError(
-                errors.Code.UNAUTHORIZED, "the key is unknown", step=STEP
+                errors.Code.UNAUTHORIZED, "the API key is unknown", step=STEP
             )
         return self._matched(call, route, organisation)
 
     def _matched(self, call, route, organisation) -> RouteMatch:
-        own = organisation.priority if organisation else None
-        rank = self._ranks[_urgency(own, route.priority)]
+        level = organisation.priority if organisation else None
+        rank = self._ranks[_urgency(level, route.priority)]
         return RouteMatch(call, route, organisation, rank)
 
 
 def pick_service(route: model.Route, rng: random.Random) -> str:
-    """Return the service that takes this request, by the split's weights.
+    """Choose a request's service at random, by the weights of the split.
 
     Raises
     ------
     RudderError
-        ``no_upstream``: the route sends nothing anywhere.
+        ``no_upstream``: no service of the route has a weight above 0.
     """
-    splits = [each for each in route.splits if each.weight > 0]
+    splits = [split for split in route.splits if split.weight > 0]
     if not splits:
         raise errors.RudderError(
             errors.Code.NO_UPSTREAM, "the route has no service", step=STEP
         )
-    weights = [each.weight for each in splits]
+    weights = [split.weight for split in splits]
     return rng.choices(splits, weights)[0].service
