--- a/toucanrudder/forwarding/loading.py
+++ b/toucanrudder/forwarding/loading.py
@@ -1,4 +1,4 @@
-"""Brings one engine to new weights: asks, empties, orders and watches it."""
+"""Loads new weights on one engine: drains, orders and watches it."""
 
 import abc
 import asyncio
@@ -19,26 +19,26 @@
 
 STEP = "order"
 
-#: Pause between two questions to an engine that carries out an order.
-ASK_S = 0.2
+#: Interval between two polls of an engine that carries out an order.
+POLL_INTERVAL_S = 0.2
 
-#: The same while the engine works off what it has: its reports are about a
+#: The same while the engine finishes its requests: its reports are about a
 #: tenth of a second old.
-EMPTY_ASK_S = 0.15
+DRAIN_POLL_INTERVAL_S = 0.15
 
-#: A call to an engine; well below the margin of the lease, so that an
-#: order sent just in time arrives in time.
-CALL_S = 0.4
+#: Timeout of a call to an engine; well below the margin of the lease, so
+#: that an order sent at the end of its validity arrives in time.
+CALL_TIMEOUT_S = 0.4
 
 
 class OrderDialect(abc.ABC):
-    """Calls to an engine that are not requests of callers."""
+    """Calls to an engine other than callers' requests."""
 
     @abc.abstractmethod
     async def report(
         self, upstream: model.Upstream, *, timeout_s: float
     ) -> rollout.EngineReport | None:
-        """Return the engine's report; None if it gave none."""
+        """Return the engine's report; None if there was no answer."""
 
     @abc.abstractmethod
     async def load(
@@ -51,31 +51,32 @@
         fencing: int,
         timeout_s: float,
     ) -> bool:
-        """Order new weights; say whether the engine took the order.
+        """Order new weights; return whether the engine accepted the order.
 
         Raises
         ------
         RudderError
-            ``order_fenced``: another holder has a higher number.
+            ``order_fenced``: another holder has a higher fencing number.
         """
 
 
 class Loader:
-    """Gives orders to one engine after the other.
+    """Sends orders to engines and follows their progress.
 
     Parameters
     ----------
     state : states.ForwardingState
-        Tells which weights are to be had; told which an engine has.
+        Holds the newest weights; its registry gets the weights that engines
+        report.
     dialect : OrderDialect
-        Speaks with engines.
+        Calls to engines.
     lease : holder.LeaseHolder
         Checked right before each order.
     avoid : callable
-        Told the engine that is about to load, and for how many seconds it
-        takes no work; returns when peers know.
-    heard : callable
-        Called when an engine has answered a question.
+        Takes the incarnation of an engine that is about to load and the
+        seconds for which it gets no work; returns when peers know.
+    on_answer : callable
+        Called when an engine has answered a request for its report.
     """
 
     def __init__(
@@ -85,41 +86,41 @@
         lease: holder.LeaseHolder,
         *,
         avoid: Callable[[str, float], Awaitable[None]],
-        heard: Callable[[], None],
+        on_answer: Callable[[], None],
     ):
         self._state = state
         self._dialect = dialect
         self._lease = lease
         self._avoid = avoid
-        self._heard = heard
-        #: Orders that are on their way.
+        self._on_answer = on_answer
+        #: Number of orders in flight.
         self.calls = 0
 
     async def request_report(
         self, upstream: model.Upstream
     ) -> rollout.EngineReport | None:
-        """Return an engine's report; None if it gives none."""
-        report = await self._dialect.report(upstream, timeout_s=CALL_S)
-        if report is None or not upstream.is_same_start(report.born_ms):
+        """Return an engine's report; None without a current answer."""
+        report = await self._dialect.report(upstream, timeout_s=CALL_TIMEOUT_S)
+        if report is None or not upstream.says(report.born_ms):
             return None
-        self._heard()
+        self._on_answer()
         return report
 
     async def load(
         self,
         task: rollout.LoadTask,
         report: rollout.EngineReport,
-        given: rollout.PendingOrder,
+        order: rollout.PendingOrder,
     ) -> None:
-        """Order an engine and watch until it has the weights.
+        """Order an engine and wait until it has the weights.
 
         Parameters
         ----------
         task : rollout.LoadTask
-            What is to be done.
+            The engine and the weights to load.
         report : rollout.EngineReport
-            What the engine has just said.
-        given : rollout.PendingOrder
+            The engine's newest report.
+        order : rollout.PendingOrder
             Its time is set when the order has been sent.
 
         Raises
@@ -127,15 +128,15 @@
         RudderError
             ``lease_lost``, ``order_fenced``.
         """
-        async with self._avoided(task.upstream.incarnation):
-            if await self._ordered(task, report):
-                # It may take as long again until the engine has them.
-                given.at_s = clock.now_s()
-                await self._watched(task)
+        async with self._without_new_work(task.upstream.incarnation):
+            if await self._send_order(task, report):
+                # The timeout starts anew for the load itself.
+                order.at_s = clock.now_s()
+                await self._wait_until_loaded(task)
 
     @contextlib.asynccontextmanager
-    async def _avoided(self, name: str) -> AsyncIterator[None]:
-        """Keep work from an engine during the block, here and at peers."""
+    async def _without_new_work(self, name: str) -> AsyncIterator[None]:
+        """Keep new work from an engine, here and at peers."""
         await self._avoid(name, rollout.ORDER_TIMEOUT_S)
         try:
             yield
@@ -145,14 +146,14 @@
     def _age_s(self, task: rollout.LoadTask) -> float:
         return self._state.weights_age_s(task.upstream, task.model)
 
-    async def _emptied(
+    async def _drained_report(
         self, task: rollout.LoadTask, report: rollout.EngineReport
     ) -> rollout.EngineReport | None:
-        """Wait while the engine, which gets no new work, has much of it.
+        """Wait until the engine, which gets no new work, may be ordered.
 
-        A report that is lost says nothing: an engine under pressure turns
-        new connections away.  The one before it will do, as the order
-        names the count of orders that it was made with.
+        A lost report does not end the wait: an overloaded engine refuses
+        new connections.  The report before it is as good, as the order names
+        the number of accepted orders in it.
 
         Returns
         -------
@@ -166,46 +167,46 @@
             self._age_s(task),
             self._state.pace,
         ):
-            await asyncio.sleep(EMPTY_ASK_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
             report = await self.request_report(task.upstream) or report
             if report.is_busy:
                 return None
         return report
 
-    async def _ordered(
+    async def _send_order(
         self, task: rollout.LoadTask, report: rollout.EngineReport
     ) -> bool:
-        """Empty an engine and order it; say whether an order was sent."""
-        had = report.weights.get(task.model, 0)
-        report = await self._emptied(task, report)
+        """Drain an engine and order it; return whether an order was sent."""
+        previous = report.weights.get(task.model, 0)
+        report = await self._drained_report(task, report)
         if report is None or self._state.stopping:
             return False
         mode = rollout.load_mode(report)
-        # Versions named while the engine was emptied are skipped.
+        # Loads the newest version, also if it was named during the drain.
         newest = self._state.newest_weights[task.model].version
         task = attrs.evolve(task, version=newest)
         lease = self._lease.require_lease(clock.now_s())
         self.calls += 1
         try:
-            taken = await self._dialect.load(
+            accepted = await self._dialect.load(
                 task,
                 report,
                 mode=mode,
                 holder=self._lease.holder_id,
                 fencing=lease.fencing,
-                timeout_s=CALL_S,
+                timeout_s=CALL_TIMEOUT_S,
             )
         finally:
             self.calls -= 1
         metrics.counter("toucanrudder_orders", "Orders to engines").add(
-            1, {"taken": str(taken).lower()}
+            1, {"taken": str(accepted).lower()}
         )
         decisions.record(
             decisions.OrderGiven(
                 upstream=task.upstream.incarnation,
                 model=task.model,
                 version=task.version,
-                had_version=had,
+                had_version=previous,
                 fencing=lease.fencing,
                 lease_left_s=lease.valid_until_s - clock.now_s(),
                 expected_orders=report.orders,
@@ -213,31 +214,31 @@
                 reading=report.reading,
                 memory_share=report.memory_share,
                 mode=mode.value,
-                taken=taken,
+                taken=accepted,
             )
         )
         return True
 
-    async def _watched(self, task: rollout.LoadTask) -> None:
-        """Wait until the engine has the weights, or has given up."""
+    async def _wait_until_loaded(self, task: rollout.LoadTask) -> None:
+        """Wait until the engine has loaded the weights or stopped loading."""
         name = task.upstream.incarnation
         began_s = clock.now_s()
-        has = 0
+        version = 0
         while clock.now_s() < began_s + rollout.ORDER_TIMEOUT_S:
-            await asyncio.sleep(ASK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             report = await self.request_report(task.upstream)
             if report is None:
                 continue
-            has = report.weights.get(task.model, 0)
-            self._state.registry.update_weights(name, task.model, has)
-            if has >= task.version or not report.is_busy:
+            version = report.weights.get(task.model, 0)
+            self._state.registry.has_weights(name, task.model, version)
+            if version >= task.version or not report.is_busy:
                 break
         decisions.record(
             decisions.OrderEnded(
                 upstream=name,
                 model=task.model,
                 version=task.version,
-                has_version=has,
+                has_version=version,
                 took_s=clock.now_s() - began_s,
             )
         )
--- a/toucanrudder/forwarding/orders.py
+++ b/toucanrudder/forwarding/orders.py
@@ -1,4 +1,4 @@
-"""Gives engines the orders to load new weights, under a lease."""
+"""Controller that orders engines to load new weights, under a lease."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -22,28 +22,28 @@
 
 LEASE_NAME = "weights"
 
-#: Pause between two looks at what is left to do.
-LOOK_S = 0.15
+#: Interval between two checks for outstanding loads.
+POLL_INTERVAL_S = 0.15
 
-#: Work that stays undone for this long is taken up by the next router in
-#: line: the first has died, or cannot reach the store.
-IN_LINE_S = 1.0
+#: Time for which loads are outstanding before the next router in line takes
+#: over: the first one has died or cannot reach the store.
+TAKEOVER_DELAY_S = 1.0
 
-#: Part of the time for which a lease is held below which it is renewed
-#: before the next order.
+#: Fraction of the lease's validity below which it is renewed before the
+#: next order.
 RENEW_SHARE = 0.5
 
-#: After a holder has given the lease up its last order may still be on
-#: its way for as long as a call takes, and engines that do not check
-#: fencing numbers would obey it.
-SETTLE_S = 1.0
+#: Time for which a holder gives no orders after its predecessor released
+#: the lease: the last order may be in flight for as long as a call takes,
+#: and engines that do not check fencing numbers would carry it out.
+LATE_ORDER_MARGIN_S = 1.0
 
-#: Time between two lines on an engine that cannot be ordered: a place is
-#: tried anew about every half second, for as long as the engine is listed.
-NOTE_S = 1.0
+#: Least time between two log lines about an engine that cannot be ordered:
+#: it is asked again about every half second while it is registered.
+MISSED_LOG_INTERVAL_S = 1.0
 
-#: Routers, the first in line, that watch the lease, so that they know how
-#: long a holder has been silent: as many as may go at once with it.
+#: Number of routers, the first in line, that watch the lease and so know for
+#: how long a holder has been silent: as many as may fail together with it.
 LEASE_WATCHERS = 3
 
 _STORE_ERRORS = (
@@ -54,21 +54,21 @@
 
 
 class RolloutController:
-    """Brings all engines to the newest weights.
+    """Task that brings all engines to the newest weights.
 
     Parameters
     ----------
     state : states.ForwardingState
-        Tells which engines there are.
+        Holds the registry of engines and the newest weights.
     dialect : loading.OrderDialect
-        Speaks with engines.
+        Calls to engines.
     lease : holder.LeaseHolder
         Proves that no other router gives orders.
     place_in_line : callable
-        How many live routers go before this one.
+        Returns the number of live routers that go before this one.
     avoid : callable
-        Told the engine that is about to load, and for how many seconds it
-        takes no work; returns when peers know.
+        Takes the incarnation of an engine that is about to load and the
+        seconds for which it gets no work; returns when peers know.
     """
 
     def __init__(
@@ -84,24 +84,24 @@
         self._lease = lease
         self._place_in_line = place_in_line
         self._loader = loading.Loader(
-            state, dialect, lease, avoid=avoid, heard=self._heard
+            state, dialect, lease, avoid=avoid, on_answer=self._on_answer
         )
         self.request_report = self._loader.request_report
-        self._given: dict[str, rollout.PendingOrder] = {}
-        self._undone_since_s: float | None = None
-        self._held_before = False
+        self._pending: dict[str, rollout.PendingOrder] = {}
+        self._outstanding_since_s: float | None = None
+        self._held = False
         self._tasks: set[asyncio.Task] = set()
-        self._doubted: set[str] = set()
+        self._refreshing: set[str] = set()
         self._turn: turns.Turn | None = None
         self._answers = turns.EngineAnswers()
-        self._given_up: set[tuple[str, str, int]] = set()
-        self._given_up_s = float("-inf")
-        self._noted_s: dict[str, float] = {}
+        self._abandoned: set[tuple[str, str, int]] = set()
+        self._abandoned_s = float("-inf")
+        self._logged_s: dict[str, float] = {}
 
     def _newest(self) -> dict[str, int]:
         return {
-            each.model: each.version
-            for each in self._state.newest_weights.values()
+            weights.model: weights.version
+            for weights in self._state.newest_weights.values()
         }
 
     def _engines(self) -> dict[str, tuple[model.Upstream, ...]]:
@@ -115,75 +115,80 @@
         }
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Check for outstanding loads and order them until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             if self._state.stopping:
-                await self._leave()
+                await self._release_lease()
                 continue
             now_s = clock.now_s()
-            left = self._left()
-            self._note_left(left, now_s)
-            if not left or not self._is_my_turn(left, now_s):
+            outstanding = self._outstanding()
+            self._update_outstanding(outstanding, now_s)
+            if not outstanding or not self._is_my_turn(outstanding, now_s):
                 continue
-            if await self._holds(now_s):
-                await self._act(left, clock.now_s())
+            if await self._ensure_lease(now_s):
+                await self._continue_turn(outstanding, clock.now_s())
             else:
                 self._turn = None
 
-    async def _act(self, left: list[rollout.LoadTask], now_s: float) -> None:
-        """Give orders, or end a turn in which this router gets no further.
-
-        Failure: this router's list of engines is old, or its calls to them
-        get no answer, while the store's do.  Symptom: it holds the lease
-        and renews it for as long as it believes that work is left, and
-        engines that all others reach keep their weights.  Others cannot
-        see that; so it lets the next in line try.
+    async def _continue_turn(
+        self, outstanding: list[rollout.LoadTask], now_s: float
+    ) -> None:
+        """Give orders, or end a turn that makes no progress.
+
+        Guards against a holder whose list of engines is stale, or whose
+        calls to engines get no answer while those to the store do.  It
+        would renew the lease for as long as it believes that loads are
+        outstanding, and engines that all other routers reach would keep
+        their weights.  Others cannot detect this, so it lets the next
+        router in line try.
         """
         registry = self._state.registry
         overdue_s = registry.overdue_s(now_s)
         if self._turn is None:
-            has_new_list = overdue_s <= turns.OVERDUE_S
-            self._turn = turns.Turn(self._state.pace, has_new_list)
-        names = {task.upstream.incarnation for task in left}
-        ending = self._turn.ending(names, self._answers, overdue_s, now_s)
-        if ending is None or self._state.live_routers() <= 1:
-            self._give(now_s)
+            has_fresh_list = overdue_s <= turns.MAX_OVERDUE_S
+            self._turn = turns.Turn(self._state.pace, has_fresh_list)
+        names = {task.upstream.incarnation for task in outstanding}
+        end_reason = self._turn.end_reason(
+            names, self._answers, overdue_s, now_s
+        )
+        if end_reason is None or self._state.live_routers() <= 1:
+            self._give_orders(now_s)
         elif not self._loader.calls:
-            await self._end_turn(ending, left, now_s)
+            await self._end_turn(end_reason, outstanding, now_s)
 
     async def _end_turn(
         self,
-        ending: turns.TurnEndReason,
-        left: list[rollout.LoadTask],
+        end_reason: turns.TurnEndReason,
+        outstanding: list[rollout.LoadTask],
         now_s: float,
     ) -> None:
         lease = self._lease.current_lease(now_s)
         decisions.record(
             decisions.TurnEnded(
-                reason=ending.value,
-                engines_left=len(left),
+                reason=end_reason.value,
+                engines_left=len(outstanding),
                 list_age_s=self._state.registry.age_s(now_s),
                 held_s=now_s - lease.acquired_s if lease else 0.0,
             )
         )
-        self._given_up = {task.key for task in left}
-        self._given_up_s = now_s
-        await self._leave()
+        self._abandoned = {task.key for task in outstanding}
+        self._abandoned_s = now_s
+        await self._release_lease()
 
-    async def _leave(self) -> None:
-        """Let the next in line go on at once.
+    async def _release_lease(self) -> None:
+        """Release the lease, so that the next in line takes over at once.
 
-        Orders that engines have taken are carried out without us; only
-        one that is being given must end first.
+        Orders that engines have accepted are carried out without their
+        sender; only calls in flight must end first.
         """
-        if self._held_before and not self._loader.calls:
-            self._note_lease(None)
+        if self._held and not self._loader.calls:
+            self._record_lease(None)
             self._turn = None
             await self._lease.release()
 
-    def _left(self) -> list[rollout.LoadTask]:
-        """Return the work that is left, as far as this router knows."""
+    def _outstanding(self) -> list[rollout.LoadTask]:
+        """Return the outstanding loads, as far as this router knows."""
         newest = self._newest()
         return [
             task
@@ -191,70 +196,74 @@
             for task in rollout.outstanding_tasks(engines, newest)
         ]
 
-    def _note_left(self, left: list[rollout.LoadTask], now_s: float) -> None:
-        """Note since when work is left, and forget what is done."""
-        names = {task.upstream.incarnation for task in left}
-        self._answers.keep(names)
-        for name in set(self._noted_s) - names:
-            del self._noted_s[name]
-        if not left:
-            self._undone_since_s = None
+    def _update_outstanding(
+        self, outstanding: list[rollout.LoadTask], now_s: float
+    ) -> None:
+        """Note since when loads are outstanding; drop completed engines."""
+        names = {task.upstream.incarnation for task in outstanding}
+        self._answers.retain(names)
+        for name in set(self._logged_s) - names:
+            del self._logged_s[name]
+        if not outstanding:
+            self._outstanding_since_s = None
             self._turn = None
-            self._given_up.clear()
-            self._given_up_s = float("-inf")
-        elif self._undone_since_s is None:
-            self._undone_since_s = now_s
+            self._abandoned.clear()
+            self._abandoned_s = float("-inf")
+        elif self._outstanding_since_s is None:
+            self._outstanding_since_s = now_s
 
-    def _may_try_again(
-        self, left: list[rollout.LoadTask], now_s: float
+    def _may_retry_turn(
+        self, outstanding: list[rollout.LoadTask], now_s: float
     ) -> bool:
-        """Whether a turn may follow one that this router gave up.
+        """Whether a turn may follow one that this router ended.
 
-        Not before another had time to begin one.  Over the same work alone
-        not before the time within which engines must follow has passed:
-        if others fail as well, the engines are down, and the lease is left
-        to whoever knows of new work.
+        Not before another router had time to begin one.  With the same
+        outstanding loads, not before the bound on the age of weights has
+        passed: if other routers fail as well, the engines are down, and the
+        lease is left to a router that knows of new loads.
         """
-        since_s = now_s - self._given_up_s
+        since_s = now_s - self._abandoned_s
         if since_s >= self._state.pace.bound_s:
             return True
-        has_new = any(task.key not in self._given_up for task in left)
+        has_new = any(task.key not in self._abandoned for task in outstanding)
         return has_new and since_s >= self._lease.timing.takeover_after_s
 
-    def _is_my_turn(self, left: list[rollout.LoadTask], now_s: float) -> bool:
-        if self._held_before:
+    def _is_my_turn(
+        self, outstanding: list[rollout.LoadTask], now_s: float
+    ) -> bool:
+        if self._held:
             return True
-        if not self._may_try_again(left, now_s):
+        if not self._may_retry_turn(outstanding, now_s):
             return False
-        waited_s = now_s - self._undone_since_s
+        waited_s = now_s - self._outstanding_since_s
         return waited_s >= turns.start_delay_s(
             self._place_in_line(),
-            IN_LINE_S,
+            TAKEOVER_DELAY_S,
             self._state.registry.overdue_s(now_s),
             self._lease.timing.takeover_after_s,
         )
 
-    async def _holds(self, now_s: float) -> bool:
+    async def _ensure_lease(self, now_s: float) -> bool:
         lease = self._lease.current_lease(now_s)
         renew_below_s = RENEW_SHARE * self._lease.timing.validity_s
         if lease is None and self._lease.is_held_by_other(now_s):
-            self._note_lease(None)
+            self._record_lease(None)
             return False
         if lease is None or lease.valid_until_s - now_s < renew_below_s:
             with contextlib.suppress(*_STORE_ERRORS):
                 await self._lease.reconcile()
             lease = self._lease.current_lease(clock.now_s())
-        self._note_lease(lease)
+        self._record_lease(lease)
         if lease is None:
-            # The store gave no answer, or another was faster.
-            await asyncio.sleep(loading.ASK_S)
+            # The store gave no answer, or another router was faster.
+            await asyncio.sleep(loading.POLL_INTERVAL_S)
             return False
         return True
 
-    def _note_lease(self, lease: decision.Lease | None) -> None:
-        if (lease is not None) == self._held_before:
+    def _record_lease(self, lease: decision.Lease | None) -> None:
+        if (lease is not None) == self._held:
             return
-        self._held_before = lease is not None
+        self._held = lease is not None
         decisions.record(
             decisions.LeaseChanged(
                 held=lease is not None,
@@ -263,83 +272,83 @@
             )
         )
 
-    def _give(self, now_s: float) -> None:
+    def _give_orders(self, now_s: float) -> None:
         lease = self._lease.current_lease(now_s)
         if lease is None:
             return
-        settle_s = SETTLE_S if lease.follows_release else 0.0
-        if now_s - lease.acquired_s < settle_s:
+        margin_s = LATE_ORDER_MARGIN_S if lease.follows_release else 0.0
+        if now_s - lease.acquired_s < margin_s:
             return
         newest = self._newest()
         stuck = self._answers.stuck(now_s)
         for engines in self._engines().values():
-            busy = {
-                each.incarnation: self._busy(each, now_s) for each in engines
+            requests = {
+                engine.incarnation: self._request_count(engine, now_s)
+                for engine in engines
             }
-            self._forget_done(engines, newest)
+            self._forget_completed(engines, newest)
             for task in rollout.plan_orders(
                 self._orderable(engines, now_s),
                 newest,
-                self._given,
-                busy,
+                self._pending,
+                requests,
                 self._age_s,
                 now_s,
                 self._state.pace,
                 stuck,
             ):
                 name = task.upstream.incarnation
-                given = rollout.PendingOrder(
+                order = rollout.PendingOrder(
                     task.version, now_s, name not in stuck
                 )
-                self._given[name] = given
-                self._turn.asks(now_s)
-                self._start(self._carried_out(task, given))
+                self._pending[name] = order
+                self._turn.record_question(now_s)
+                self._start_task(self._carry_out(task, order))
 
     def _orderable(self, engines, now_s: float) -> list[model.Upstream]:
-        """Return the engines to which no other router gave an order lately.
+        """Return the engines that got no order from a peer lately.
 
-        Failure: a holder orders an engine and falls silent, and the next
-        one orders it while that order may still be carried out late.
-        Symptom: two holders' orders at one engine within the lease's own
-        time.  The engine has weights that are at most that old, so
-        waiting costs nothing.
+        If a holder stops right after an order, its successor might order
+        the same engine while that order may still be carried out late: two
+        holders' orders at one engine within the lease's own time.  The
+        engine's weights are at most that old, so waiting costs nothing.
         """
-        quiet_s = self._lease.timing.takeover_after_s
+        quiet_period_s = self._lease.timing.takeover_after_s
         return [
-            each
-            for each in engines
+            engine
+            for engine in engines
             if now_s
-            - self._state.upstream_stats.of(each.incarnation).last_peer_order_s
-            >= quiet_s
+            - self._state.states.of(engine.incarnation).last_peer_order_s
+            >= quiet_period_s
         ]
 
     def _age_s(self, task: rollout.LoadTask) -> float:
         return self._state.weights_age_s(task.upstream, task.model)
 
-    def _heard(self) -> None:
+    def _on_answer(self) -> None:
         if self._turn is not None:
-            self._turn.has_heard = True
+            self._turn.has_answer = True
 
-    def _busy(self, upstream: model.Upstream, now_s: float) -> float:
-        known = self._state.upstream_stats.of(upstream.incarnation)
-        return known.requests + known.other_requests(now_s)
+    def _request_count(self, upstream: model.Upstream, now_s: float) -> float:
+        state = self._state.states.of(upstream.incarnation)
+        return state.requests + state.other_requests(now_s)
 
-    def _forget_done(self, engines, newest) -> None:
+    def _forget_completed(self, engines, newest) -> None:
         open_names = {
             task.upstream.incarnation
             for task in rollout.outstanding_tasks(engines, newest)
         }
-        for each in engines:
-            if each.incarnation not in open_names:
-                self._given.pop(each.incarnation, None)
+        for engine in engines:
+            if engine.incarnation not in open_names:
+                self._pending.pop(engine.incarnation, None)
 
     def refresh_weights(self, upstream: model.Upstream) -> None:
-        """Ask an engine for its weights: they are not what was believed."""
-        if upstream.incarnation not in self._doubted:
-            self._doubted.add(upstream.incarnation)
-            self._start(self._refreshed(upstream))
+        """Ask an engine for its weights after an unexpected version."""
+        if upstream.incarnation not in self._refreshing:
+            self._refreshing.add(upstream.incarnation)
+            self._start_task(self._refresh(upstream))
 
-    async def _refreshed(self, upstream: model.Upstream) -> None:
+    async def _refresh(self, upstream: model.Upstream) -> None:
         try:
             report = await self._loader.request_report(upstream)
             for name, version in (report.weights if report else {}).items():
@@ -347,69 +356,74 @@
                     upstream.incarnation, name, version
                 )
         finally:
-            self._doubted.discard(upstream.incarnation)
+            self._refreshing.discard(upstream.incarnation)
 
-    def _start(self, coroutine) -> None:
+    def _start_task(self, coroutine) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _carried_out(
-        self, task: rollout.LoadTask, given: rollout.PendingOrder
+    async def _carry_out(
+        self, task: rollout.LoadTask, order: rollout.PendingOrder
     ) -> None:
-        """Order one engine and watch until it has the weights."""
+        """Order one engine and wait until it has the weights."""
         name = task.upstream.incarnation
         try:
-            report = await self._ready(task)
-            if report is None or not self._takes_place(task, given):
+            report = await self._orderable_report(task)
+            if report is None or not self._takes_slot(task, order):
                 return
-            await self._loader.load(task, report, given)
+            await self._loader.load(task, report, order)
         except errors.RudderError as error:
-            LOG.warning("order refused: %s", error, extra={"peer": name})
+            LOG.warning(
+                "engine rejected the order to load weights: %s",
+                error,
+                extra={"peer": name},
+            )
         finally:
-            if self._given.get(name) is given:
-                del self._given[name]
+            if self._pending.get(name) is order:
+                del self._pending[name]
 
-    def _takes_place(
-        self, task: rollout.LoadTask, given: rollout.PendingOrder
+    def _takes_slot(
+        self, task: rollout.LoadTask, order: rollout.PendingOrder
     ) -> bool:
-        """Count an engine that answers among those that load, if it may."""
-        if not given.holds_slot:
+        """Return whether the order holds a load slot; take a free one."""
+        if not order.holds_slot:
             engines = [
-                each
-                for each in self._state.registry.for_service(
-                    task.upstream.service
-                )
-                if not each.is_leaving
+                engine
+                for engine in self._state.registry.of(task.upstream.service)
+                if not engine.is_leaving
             ]
             age_s = self._age_s(task)
-            given.holds_slot = (
+            order.holds_slot = (
                 rollout.free_slots(
                     engines,
-                    self._given,
+                    self._pending,
                     age_s,
                     clock.now_s(),
                     self._state.pace,
                 )
                 > 0
             )
-        return given.holds_slot
+        return order.holds_slot
 
-    def _note_answer(
+    def _record_response(
         self, task: rollout.LoadTask, report: rollout.EngineReport | None
     ) -> None:
-        """Say why an engine gets no order, if it gets none."""
+        """Note an engine's response; log why it cannot be ordered."""
         name, now_s = task.upstream.incarnation, clock.now_s()
         if report is None:
-            self._answers.unanswered(name, now_s)
+            self._answers.record_no_report(name, now_s)
         elif report.is_busy:
-            self._answers.busy(name, now_s)
+            self._answers.record_busy(name, now_s)
         else:
-            self._answers.answered(name)
+            self._answers.record_orderable(name)
             return
-        if now_s - self._noted_s.get(name, float("-inf")) < NOTE_S:
+        if (
+            now_s - self._logged_s.get(name, float("-inf"))
+            < MISSED_LOG_INTERVAL_S
+        ):
             return
-        self._noted_s[name] = now_s
+        self._logged_s[name] = now_s
         lease = self._lease.current_lease(now_s)
         decisions.record(
             decisions.OrderMissed(
@@ -424,17 +438,17 @@
             )
         )
 
-    async def _ready(
+    async def _orderable_report(
         self, task: rollout.LoadTask
     ) -> rollout.EngineReport | None:
         """Return the report of an engine that can be ordered, or None."""
         report = await self._loader.request_report(task.upstream)
-        self._note_answer(task, report)
+        self._record_response(task, report)
         if report is None or report.is_busy:
-            await asyncio.sleep(loading.ASK_S)
+            await asyncio.sleep(loading.POLL_INTERVAL_S)
             return None
-        has = report.weights.get(task.model, 0)
-        self._state.registry.update_weights(
-            task.upstream.incarnation, task.model, has
+        version = report.weights.get(task.model, 0)
+        self._state.registry.has_weights(
+            task.upstream.incarnation, task.model, version
         )
-        return report if has < task.version else None
+        return report if version < task.version else None
--- a/toucanrudder/forwarding/turns.py
+++ b/toucanrudder/forwarding/turns.py
@@ -1,9 +1,9 @@
-"""Whose turn it is to give orders, and when a turn ends.  No I/O.
+"""Start and end of a router's turn to give orders.  No I/O.
 
-A holder of the lease may be unable to do the work: its list of engines is
-old, or its calls to engines get no answer while the store's do.  It cannot
-tell that from engines that are down.  So a turn ends when work is left
-that this router gets no further with, and another router tries.
+A lease holder may be unable to order engines: its list of engines is stale,
+or its calls to engines get no answer while those to the store do.  It cannot
+distinguish this from engines that are down.  So a turn ends when it makes no
+progress with outstanding loads, and another router tries.
 """
 
 from collections.abc import Collection
@@ -13,22 +13,22 @@
 
 from toucanrudder.forwarding import rollout
 
-#: Time after a turn's first question after which it ends if no engine has
-#: answered: three calls one after the other, each of 0.4 s at most.
-NOTHING_S = 1.5
+#: Time after a turn's first question at which it ends if no engine has
+#: answered: three calls in sequence, each of 0.4 s at most.
+NO_ANSWER_TIMEOUT_S = 1.5
 
-#: Part of the time within which engines must follow, after which a turn
-#: ends for an engine that gives no answer while others do: six seconds of
-#: ten.  The registry drops an engine that is down after some four.
-SOME_SHARE = 0.6
+#: Fraction of the bound on the age of weights after which a turn ends if
+#: one engine gives no answer while others do: six seconds of ten.  The
+#: registry drops an engine that is down after some four.
+SILENT_ENGINE_SHARE = 0.6
 
-#: Time by which the registry's next word may be late before a router's
-#: list of engines counts as old: a call that broke off, and the next one.
-OVERDUE_S = 2.0
+#: Time by which the registry's next answer may be overdue before a router's
+#: list of engines counts as stale: a failed call and the next one.
+MAX_OVERDUE_S = 2.0
 
 
 class TurnEndReason(enum.Enum):
-    """Why a router gives its turn up."""
+    """Why a router ends its turn."""
 
     NO_ANSWER = "no_answer"
     SILENT_ENGINE = "silent_engine"
@@ -37,19 +37,19 @@
 
 @attrs.define
 class EngineAnswers:
-    """Which engines answered this router's questions, over all its turns.
+    """Answers of engines to this router's questions, over all its turns.
 
-    Kept from turn to turn.  Failure: each turn begins with the engines that
-    have the least work, and silent ones have none.  Symptom: a turn ends,
-    or a place is lost, over the same engines as the turn before.
+    Kept from turn to turn: each turn begins with the least busy engines, and
+    silent ones have no work.  Otherwise a turn would end, or lose a load
+    slot, because of the same engines as the turn before.
 
     Examples
     --------
     >>> answers = EngineAnswers()
-    >>> answers.unanswered("i1", 1.0); answers.unanswered("i1", 3.0)
+    >>> answers.record_no_report("i1", 1.0); answers.record_no_report("i1", 3.0)
     >>> answers.silent_s("i1", 4.0), answers.stuck(4.0)
     (3.0, {'i1': 3.0})
-    >>> answers.answered("i1"); answers.stuck(4.0)
+    >>> answers.record_orderable("i1"); answers.stuck(4.0)
     {}
     """
 
@@ -57,8 +57,8 @@
     _busy_since_s: dict[str, float] = attrs.field(factory=dict)
     _asked_s: dict[str, float] = attrs.field(factory=dict)
 
-    def answered(self, name: str) -> None:
-        """Note an engine that can be ordered."""
+    def record_orderable(self, name: str) -> None:
+        """Record that an engine can be ordered."""
         for times_s in (
             self._silent_since_s,
             self._busy_since_s,
@@ -66,28 +66,28 @@
         ):
             times_s.pop(name, None)
 
-    def busy(self, name: str, now_s: float) -> None:
-        """Note an engine that carries out another order."""
+    def record_busy(self, name: str, now_s: float) -> None:
+        """Record that an engine is carrying out another order."""
         self._silent_since_s.pop(name, None)
         self._busy_since_s.setdefault(name, now_s)
         self._asked_s[name] = now_s
 
-    def unanswered(self, name: str, now_s: float) -> None:
-        """Note an engine that gave no report."""
+    def record_no_report(self, name: str, now_s: float) -> None:
+        """Record that an engine gave no report."""
         self._silent_since_s.setdefault(name, now_s)
         self._asked_s[name] = now_s
 
-    def keep(self, names: Collection[str]) -> None:
+    def retain(self, names: Collection[str]) -> None:
         """Forget all other engines."""
         for name in set(self._asked_s) - set(names):
-            self.answered(name)
+            self.record_orderable(name)
 
     def silent_s(self, name: str, now_s: float) -> float:
-        """Return for how long an engine has given no report."""
+        """Return the seconds for which an engine has given no report."""
         return now_s - self._silent_since_s.get(name, now_s)
 
     def stuck(self, now_s: float) -> dict[str, float]:
-        """Return the engines that cannot be ordered, and when last asked."""
+        """Return when each engine that cannot be ordered was last asked."""
         return {
             name: asked_s
             for name, asked_s in self._asked_s.items()
@@ -103,99 +103,106 @@
     Parameters
     ----------
     pace : rollout.Pace
-        How fast engines must follow.
-    has_new_list : bool
-        Whether this router's list of engines was new when it began.
+        How fast engines must load new weights.
+    has_fresh_list : bool
+        Whether this router's list of engines was fresh at the start.
     first_asked_s : float or None
-        When the first engine was asked: a turn may begin with a wait for
-        what the last holder has sent.
-    has_heard : bool
+        Monotonic time of the first question to an engine; a turn may begin
+        with a wait for orders in flight from the last holder.
+    has_answer : bool
         Whether any engine has answered.
     """
 
     pace: rollout.Pace = rollout.DEFAULT_PACE
-    has_new_list: bool = True
+    has_fresh_list: bool = True
     first_asked_s: float | None = None
-    has_heard: bool = False
+    has_answer: bool = False
 
-    def asks(self, now_s: float) -> None:
-        """Note that an engine is asked."""
+    def record_question(self, now_s: float) -> None:
+        """Record that an engine is asked."""
         if self.first_asked_s is None:
             self.first_asked_s = now_s
 
-    def ending(
+    def end_reason(
         self,
-        left: Collection[str],
+        engines: Collection[str],
         answers: EngineAnswers,
         overdue_s: float,
         now_s: float,
     ) -> TurnEndReason | None:
-        """Return why the turn ends now, if it does.
+        """Return the reason for the turn to end now, or None.
 
         Parameters
         ----------
-        left : collection of str
-            Engines that lack weights.
+        engines : collection of str
+            Engines with outstanding loads.
         answers : EngineAnswers
-            What came of the questions.
+            Answers of engines so far.
         overdue_s : float
-            Time by which the registry's next word is late.
+            Seconds by which the registry's next answer is overdue.
         now_s : float
             Monotonic time.
 
         Examples
         --------
         >>> answers = EngineAnswers()
-        >>> answers.unanswered("i2", 1.0)
+        >>> answers.record_no_report("i2", 1.0)
         >>> turn = Turn(first_asked_s=0.8)
-        >>> turn.ending(["i2"], answers, 0.0, now_s=2.0)
-        >>> turn.ending(["i2"], answers, 0.0, now_s=2.4)
+        >>> turn.end_reason(["i2"], answers, 0.0, now_s=2.0)
+        >>> turn.end_reason(["i2"], answers, 0.0, now_s=2.4)
         <TurnEndReason.NO_ANSWER: 'no_answer'>
-        >>> turn.has_heard = True
-        >>> turn.ending(["i2"], answers, 0.0, now_s=2.4)
-        >>> turn.ending(["i2"], answers, 0.0, now_s=6.0)
+        >>> turn.has_answer = True
+        >>> turn.end_reason(["i2"], answers, 0.0, now_s=2.4)
+        >>> turn.end_reason(["i2"], answers, 0.0, now_s=6.0)
         <TurnEndReason.SILENT_ENGINE: 'silent_engine'>
-        >>> turn.ending([], answers, 0.0, now_s=6.0)
-        >>> turn.ending([], answers, 9.0, now_s=6.0)
+        >>> turn.end_reason([], answers, 0.0, now_s=6.0)
+        >>> turn.end_reason([], answers, 9.0, now_s=6.0)
         <TurnEndReason.OLD_LIST: 'old_list'>
         """
-        if self.has_new_list and overdue_s > OVERDUE_S:
+        if self.has_fresh_list and overdue_s > MAX_OVERDUE_S:
             return TurnEndReason.OLD_LIST
         if self.first_asked_s is None:
             return None
-        # What was silent in an earlier turn is asked in this one first.
-        asked_for_s = now_s - self.first_asked_s
+        # An engine that was silent in an earlier turn must have been silent
+        # for as long in this one.
+        asking_s = now_s - self.first_asked_s
         silent_s = max(
-            (answers.silent_s(name, now_s) for name in left), default=0.0
+            (answers.silent_s(name, now_s) for name in engines), default=0.0
         )
-        if min(silent_s, asked_for_s) > SOME_SHARE * self.pace.bound_s:
+        if min(silent_s, asking_s) > SILENT_ENGINE_SHARE * self.pace.bound_s:
             return TurnEndReason.SILENT_ENGINE
-        if silent_s > 0 and not self.has_heard and asked_for_s > NOTHING_S:
+        if (
+            silent_s > 0
+            and not self.has_answer
+            and asking_s > NO_ANSWER_TIMEOUT_S
+        ):
             return TurnEndReason.NO_ANSWER
         return None
 
 
 def start_delay_s(
-    place: int, each_s: float, overdue_s: float, last_s: float
+    place: int, step_s: float, overdue_s: float, stale_list_s: float
 ) -> float:
-    """Return how long a router waits before it begins a turn.
+    """Return the seconds that a router waits before it begins a turn.
 
     Parameters
     ----------
     place : int
-        Routers that go before it.
-    each_s : float
-        How long it waits for each of them.
+        Number of routers before it.
+    step_s : float
+        Delay for each of them.
     overdue_s : float
-        Time by which the registry's next word is late.
-    last_s : float
-        How much longer a router with an old list waits.  It goes after
-        those that have a new one, but it goes: the registry may be out of
-        reach of everybody.
+        Seconds by which the registry's next answer is overdue.
+    stale_list_s : float
+        Extra delay of a router with a stale list.  It starts after those
+        with a fresh one but is not excluded, as no router may be able to
+        reach the registry.
 
     Examples
     --------
     >>> start_delay_s(2, 1.0, 0.5, 3.0), start_delay_s(0, 1.0, 60.0, 3.0)
     (2.0, 3.0)
     """
-    return place * each_s + (last_s if overdue_s > OVERDUE_S else 0.0)
+    return place * step_s + (
+        stale_list_s if overdue_s > MAX_OVERDUE_S else 0.0
+    )
