--- a/toucanrudder/forwarding/cache.py
+++ b/toucanrudder/forwarding/cache.py
@@ -1,4 +1,4 @@
-"""Which engine is believed to hold which parts of prompts.  No I/O."""
+"""Index of the prompt parts that engines are believed to cache.  No I/O."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -8,16 +8,16 @@
 
 from toucanrudder.forwarding import model
 
-#: Parts remembered for one engine under one salt: a few times what its
-#: memory holds, at some hundred tokens a part.
+#: Most parts indexed per engine and salt: a few times what its memory holds,
+#: at some hundred tokens per part.
 MAX_PARTS = 4096
 
 
-def make_salt(wall: str, weights_version: int | None) -> str:
-    """Return the text under which an engine keeps parts.
+def make_salt(cache_scope: str, weights_version: int | None) -> str:
+    """Return the salt of an engine's cache keys.
 
-    The version makes it impossible that cache moves between engines with
-    different weights; the wall keeps an isolated organisation's apart.
+    The version prevents copies between engines with different weights; the
+    scope separates the cache of an isolated organisation.
 
     Examples
     --------
@@ -25,25 +25,26 @@
     ('3', '3.acme')
     """
     version = str(weights_version or 0)
-    return f"{version}.{wall}" if wall else version
+    return f"{version}.{cache_scope}" if cache_scope else version
 
 
-def version_of(salt_: str) -> int | None:
-    """Return the weights' version in a salt; None if it is not ours.
+def weights_version_of(salt: str) -> int | None:
+    """Return the weights version in a salt; None for a foreign salt.
 
     Examples
     --------
-    >>> version_of("3.acme"), version_of("x")
+    >>> weights_version_of("3.acme"), weights_version_of("x")
     (3, None)
     """
-    number = salt_.partition(".")[0]
+    number = salt.partition(".")[0]
     return int(number) if number.isdecimal() else None
 
 
-# Thousands come at once: making a frozen one takes three times as long.
+# Not frozen: thousands are created at once, and a frozen instance takes
+# three times as long.
 @attrs.define
 class Event:
-    """A part that an engine has stored or dropped."""
+    """Storage or eviction of one part by an engine."""
 
     salt: str
     part: str
@@ -52,37 +53,37 @@
 
 
 @attrs.define(eq=False)
-class _Engine:
+class _EngineCache:
     """Tokens of the parts that an engine holds, by salt and part.
 
-    Of each salt, the part that was noted last comes last.
+    The parts of each salt are in order of their last update.
     """
 
     epoch: int | None = None
     salts: dict[str, dict[str, int]] = attrs.field(factory=dict)
 
-    def note(self, salt_: str, part: str, tokens: int) -> None:
-        """Note a part; forget the oldest one of too many."""
-        parts = self.salts.get(salt_)
+    def add(self, salt: str, part: str, tokens: int) -> None:
+        """Add a part; drop the oldest one beyond `MAX_PARTS`."""
+        parts = self.salts.get(salt)
         if parts is None:
-            parts = self.salts[salt_] = {}
+            parts = self.salts[salt] = {}
         parts.pop(part, None)
         parts[part] = tokens
         if len(parts) > MAX_PARTS:
             del parts[next(iter(parts))]
 
-    def forget_before(self, version: int) -> int:
-        """Forget what belongs to earlier weights; return how many parts."""
+    def drop_before(self, version: int) -> int:
+        """Drop parts of earlier weights; return how many."""
         old = [
-            salt_
-            for salt_ in self.salts
-            if (version_of(salt_) or version) < version
+            salt
+            for salt in self.salts
+            if (weights_version_of(salt) or version) < version
         ]
-        return sum(len(self.salts.pop(salt_)) for salt_ in old)
+        return sum(len(self.salts.pop(salt)) for salt in old)
 
 
 class CacheIndex:
-    """Beliefs by engine process.
+    """Parts believed to be cached, by engine process or store.
 
     Examples
     --------
@@ -96,17 +97,17 @@
     """
 
     def __init__(self):
-        self._engines: dict[str, _Engine] = {}
+        self._engines: dict[str, _EngineCache] = {}
 
-    def _of(self, incarnation: str) -> _Engine:
-        return self._engines.setdefault(incarnation, _Engine())
+    def _of(self, incarnation: str) -> _EngineCache:
+        return self._engines.setdefault(incarnation, _EngineCache())
 
     def retain(self, oldest: Mapping[str, int]) -> int:
-        """Forget engines that are gone, and what nobody can use any more.
+        """Drop other engines, and parts of weights out of use.
 
-        Failure: each version of the weights begins a table of its own.
-        Symptom: a router's memory grows for as long as it lives.  No
-        engine goes back to earlier weights, so their parts are dropped.
+        Each version of the weights has a table of its own, so a router's
+        memory would grow without bound.  No engine goes back to earlier
+        weights, so their parts can be dropped.
 
         Parameters
         ----------
@@ -116,48 +117,48 @@
         Returns
         -------
         int
-            Parts of engines that are there, forgotten with their weights.
+            Number of parts of remaining engines that were dropped.
         """
         for name in set(self._engines) - set(oldest):
             del self._engines[name]
         return sum(
-            engine.forget_before(oldest[name])
+            engine.drop_before(oldest[name])
             for name, engine in self._engines.items()
         )
 
     def apply_events(
         self, incarnation: str, epoch: int, events: Iterable[Event]
     ) -> None:
-        """Take in what an engine told of its cache."""
+        """Apply an engine's cache events; a new epoch clears its parts."""
         engine = self._of(incarnation)
         if engine.epoch != epoch:
             engine.salts.clear()
             engine.epoch = epoch
         for event in events:
             if event.is_stored:
-                engine.note(event.salt, event.part, event.tokens)
+                engine.add(event.salt, event.part, event.tokens)
             else:
                 engine.salts.get(event.salt, {}).pop(event.part, None)
 
     def add_parts(
-        self, incarnation: str, salt_: str, parts: Sequence[model.Part]
+        self, incarnation: str, salt: str, parts: Sequence[model.Part]
     ) -> None:
-        """Note that an engine has read these parts of a prompt."""
+        """Add parts of a prompt that an engine has prefilled."""
         engine = self._of(incarnation)
         for part in parts:
-            engine.note(salt_, part.identity, part.tokens)
+            engine.add(salt, part.identity, part.tokens)
 
     def cached_tokens(
-        self, incarnation: str, salt_: str, parts: Sequence[model.Part]
+        self, incarnation: str, salt: str, parts: Sequence[model.Part]
     ) -> int:
-        """Return the tokens at a prompt's beginning that are held there.
+        """Return the length in tokens of a prompt's cached prefix.
 
-        A part is of use only if all before it are held too.
+        A part is of use only if all parts before it are cached too.
         """
         engine = self._engines.get(incarnation)
         if engine is None:
             return 0
-        held = engine.salts.get(salt_)
+        held = engine.salts.get(salt)
         if not held:
             return 0
         tokens = 0
--- a/toucanrudder/forwarding/cache_feed.py
+++ b/toucanrudder/forwarding/cache_feed.py
@@ -1,4 +1,4 @@
-"""Follows what engines tell of their caches."""
+"""Polls engines and stores for their cache events."""
 
 import abc
 import asyncio
@@ -20,50 +20,50 @@
 
 LOG = logging.getLogger(__name__)
 
-#: How long a question waits at an engine; longer waits cost nothing, and
-#: a connection that has gone silent is noticed this late.
-WAIT_S = 1.0
+#: Duration of a long poll.  A longer one would save nothing, and a silent
+#: connection is detected this late.
+POLL_WAIT_S = 1.0
 
-#: Pause after a question that failed.
-PAUSE_S = 0.5
+#: Delay before the retry of a failed poll.
+RETRY_DELAY_S = 0.5
 
-#: Pause between two looks at which engines there are.
-LOOK_S = 0.5
+#: Interval between two checks of which sources to poll.
+REFRESH_INTERVAL_S = 0.5
 
-#: Routers beyond which engines are not asked: each would hear of few of
-#: them.  Their requests name the store of parts or a part's home instead.
-MOST_ROUTERS = 16
+#: Number of routers beyond which engines are not polled: each router would
+#: get the events of few.  Requests then name the part store or a part's home.
+MAX_POLLING_ROUTERS = 16
 
-#: Questions that an engine keeps open at once for us, unless the
-#: configuration allows it fewer; the rest is left to others who ask.
-MAX_ASKING = 8
+#: Most routers that poll one source: an engine keeps only a limited number
+#: of polls open at once, and others poll it too.
+MAX_POLLERS = 8
 
 
 def polls_engines(routers: int) -> bool:
-    """Return whether engines are asked what their caches hold.
+    """Return whether so many routers poll engines for cache events.
 
     Examples
     --------
     >>> polls_engines(8), polls_engines(65)
     (True, False)
     """
-    return routers <= MOST_ROUTERS
+    return routers <= MAX_POLLING_ROUTERS
 
 
 @attrs.frozen
 class CacheUpdate:
-    """What an engine told of its cache.
+    """Cache events of an engine or store since the last poll.
 
     Parameters
     ----------
     epoch : int
         Changes when the engine restarts.
     next : int
-        What the next question goes on from.
+        Position that the next poll starts from.
     events : tuple of cache.Event
-        What was stored and dropped, in order.
+        Stored and evicted parts, in order.
     born_ms : int
-        Unix time of its start; 0 if it does not say.
+        Unix time of its start in ms; 0 if unknown.
     """
 
     epoch: int
@@ -72,14 +72,14 @@
     born_ms: int = 0
 
 
-#: What tells of its cache.
+#: Reports cache events.
 CacheSource = model.Upstream | model.CacheStore
 
 
 @functools.singledispatch
 def source_key(source: CacheSource) -> str:
-    """Return the name under which a source's parts are believed."""
-    raise TypeError(f"{type(source).__name__} keeps no parts")
+    """Return the key of a source in the cache index."""
+    raise TypeError(f"{type(source).__name__} has no cache events")
 
 
 @source_key.register
@@ -93,24 +93,24 @@
 
 
 class CacheDialect(abc.ABC):
-    """Questions to an engine or a store about its cache."""
+    """Calls to an engine or a store about its cache."""
 
     @abc.abstractmethod
     async def cache_events(
         self, source: CacheSource, since: int, *, wait_s: float
     ) -> CacheUpdate | None:
-        """Return events after `since`; None if there was no answer."""
+        """Return events from `since` on; None if there was no answer."""
 
 
 class CacheFeedController:
-    """Asks each engine and store for what its cache does.
+    """Task that polls engines and stores for cache events.
 
     Parameters
     ----------
     state : states.ForwardingState
-        Tells which engines there are; its index is written here.
+        Holds the known engines and stores and the index that is updated.
     dialect : CacheDialect
-        Speaks with them.
+        Calls to them.
     routers : callable
         Returns the names of all live routers, this one included.
     rng : random.Random
@@ -128,152 +128,155 @@
         self._dialect = dialect
         self._routers = routers
         self._rng = rng
-        self._asking: dict[str, asyncio.Task] = {}
+        self._polls: dict[str, asyncio.Task] = {}
         self._settling = settling.Settling()
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Poll until cancelled."""
         try:
             while True:
-                self._look(clock.now_s())
-                await asyncio.sleep(LOOK_S)
+                self._refresh(clock.now_s())
+                await asyncio.sleep(REFRESH_INTERVAL_S)
         finally:
-            # Left in the table, they would keep the next run from asking:
-            # no cache of theirs would be used again.
-            while self._asking:
-                self._asking.popitem()[1].cancel()
+            # Tasks left in the table would keep the next run from polling
+            # their sources, whose caches would not be used again.
+            while self._polls:
+                self._polls.popitem()[1].cancel()
 
-    def _look(self, now_s: float) -> None:
-        ended = self._forget_ended()
+    def _refresh(self, now_s: float) -> None:
+        ended = self._drop_ended()
         engines, stores = self._state.engines(), self._state.cache_stores()
         routers = tuple(sorted(self._routers()))
         if self._settling.is_settled(len(routers), now_s):
-            self._adjust((*engines, *stores), routers, ended)
-        self._forget_unused(engines, stores)
+            self._update_polls((*engines, *stores), routers, ended)
+        self._drop_unused(engines, stores)
 
-    def _adjust(
+    def _update_polls(
         self, sources: tuple[CacheSource, ...], routers: tuple[str, ...], ended
     ) -> None:
-        """Begin and end questions, so that the right routers ask."""
-        asked = sources
+        """Start and stop polls as routers and sources come and go."""
+        polled = sources
         if not polls_engines(len(routers)):
-            asked = tuple(
-                each for each in sources if isinstance(each, model.CacheStore)
+            polled = tuple(
+                source
+                for source in sources
+                if isinstance(source, model.CacheStore)
             )
         wanted = {
-            source_key(each): each
-            for each in asked
-            if self._is_asker(source_key(each), routers)
+            source_key(source): source
+            for source in polled
+            if self._is_poller(source_key(source), routers)
         }
-        for name in set(self._asking) - set(wanted):
-            self._asking.pop(name).cancel()
-        for name in set(wanted) - set(self._asking) - ended:
-            self._asking[name] = asyncio.get_running_loop().create_task(
-                self._ask(wanted[name])
+        for name in set(self._polls) - set(wanted):
+            self._polls.pop(name).cancel()
+        for name in set(wanted) - set(self._polls) - ended:
+            self._polls[name] = asyncio.get_running_loop().create_task(
+                self._poll(wanted[name])
             )
 
-    def _forget_unused(
+    def _drop_unused(
         self,
         engines: Iterable[model.Upstream],
         stores: Iterable[model.CacheStore],
     ) -> None:
-        """Drop beliefs in engines that are gone, and in old weights."""
+        """Drop cached parts of gone engines and of old weights."""
         oldest = {
-            each.incarnation: min(each.weights.values(), default=0)
-            for each in engines
+            engine.incarnation: min(engine.weights.values(), default=0)
+            for engine in engines
         }
-        everywhere = min(oldest.values(), default=0)
-        oldest.update({each.address: everywhere for each in stores})
+        fleet_oldest = min(oldest.values(), default=0)
+        oldest.update({store.address: fleet_oldest for store in stores})
         dropped = self._state.cache.retain(oldest)
         if dropped:
             decisions.record(decisions.BeliefsDropped(parts=dropped))
 
-    def _forget_ended(self) -> set[str]:
-        """Forget tasks that have ended; return their sources' names.
+    def _drop_ended(self) -> set[str]:
+        """Drop tasks that have ended; return the keys of their sources.
 
-        None ends by itself: an error that nobody expected, or a
-        cancellation inside a call, has ended it.  Kept, it would count as
-        asking, and the source's cache would not be used again.  Each look
-        comes here first, and the next one asks again, so that a lasting
-        fault costs one question in a look.
+        A poll never ends by itself, only by an unexpected error or a
+        cancellation inside a call.  If kept, it would count as running, and
+        the source's cache would not be used again.  Each check calls this
+        first and the next check starts the poll again, so that a permanent
+        fault costs one poll per check.
         """
-        ended = {name for name, task in self._asking.items() if task.done()}
+        ended = {name for name, task in self._polls.items() if task.done()}
         for name in ended:
-            error = _reason(self._asking.pop(name))
+            error = _task_error(self._polls.pop(name))
             LOG.error(
-                "no longer asked %s for its cache: %r; asking again",
+                "poll of the cache of %s ended: %r; polling again",
                 name,
                 error,
                 exc_info=error,
             )
         return ended
 
-    def _is_asker(self, name: str, routers: tuple[str, ...]) -> bool:
-        """Whether this router is among those that ask the source.
+    def _is_poller(self, name: str, routers: tuple[str, ...]) -> bool:
+        """Whether this router is among those that poll the source.
 
-        All rank alike, so that it is asked by a bounded number of routers
-        however many there are.
+        All routers compute the same ranking, so that a bounded number of
+        them polls it, however many there are.
         """
-        if len(routers) <= MAX_ASKING:
+        if len(routers) <= MAX_POLLERS:
             return True
-        return self._state.name in _askers(name, routers)
+        return self._state.name in _pollers(name, routers)
 
-    async def _ask(self, source: CacheSource) -> None:
+    async def _poll(self, source: CacheSource) -> None:
         since = 0
         while True:
-            told = await self._dialect.cache_events(
-                source, since, wait_s=WAIT_S
+            update = await self._dialect.cache_events(
+                source, since, wait_s=POLL_WAIT_S
             )
-            _note_health(source, self._state, told is not None)
-            if told is None:
-                await asyncio.sleep(PAUSE_S * self._rng.uniform(0.75, 1.25))
+            _record_health(source, self._state, update is not None)
+            if update is None:
+                await asyncio.sleep(
+                    RETRY_DELAY_S * self._rng.uniform(0.75, 1.25)
+                )
                 continue
-            if not _is_of(source, told):
-                # A start that the registry has not told of yet, or a word
-                # of an earlier one.
-                await asyncio.sleep(PAUSE_S)
+            if not _is_current(source, update):
+                # From a start that is not registered yet, or an earlier one.
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
-            since = told.next
+            since = update.next
             self._state.cache.apply_events(
-                source_key(source), told.epoch, told.events
+                source_key(source), update.epoch, update.events
             )
 
 
-def _reason(task: asyncio.Task) -> BaseException | None:
-    """Return what ended a task."""
+def _task_error(task: asyncio.Task) -> BaseException | None:
+    """Return the exception that ended a task."""
     if task.cancelled():
         return asyncio.CancelledError()
     return task.exception()
 
 
 @functools.singledispatch
-def _is_of(source: CacheSource, told: CacheUpdate) -> bool:
-    """Whether the words come from this start of the source."""
+def _is_current(source: CacheSource, update: CacheUpdate) -> bool:
+    """Whether the update comes from this start of the source."""
     return True
 
 
-@_is_of.register
-def _(source: model.Upstream, told: CacheUpdate) -> bool:
-    return source.is_same_start(told.born_ms)
+@_is_current.register
+def _(source: model.Upstream, update: CacheUpdate) -> bool:
+    return source.says(update.born_ms)
 
 
 @functools.lru_cache(maxsize=256)
-def _askers(name: str, routers: tuple[str, ...]) -> frozenset[str]:
-    # Asked twice a second for each source, and the same until a router
-    # comes or goes: ranking 82 routers takes 0.1 ms.
+def _pollers(name: str, routers: tuple[str, ...]) -> frozenset[str]:
+    # Called twice a second for each source, and the same until a router
+    # comes or goes; ranking 82 routers takes 0.1 ms.
     return frozenset(
-        rendezvous.ranked(name.encode()[:64], routers)[:MAX_ASKING]
+        rendezvous.ranked(name.encode()[:64], routers)[:MAX_POLLERS]
     )
 
 
 @functools.singledispatch
-def _note_health(
+def _record_health(
     source: CacheSource, state: states.ForwardingState, answered: bool
 ) -> None:
-    """Note whether a source answers; an engine's requests tell more."""
+    """Record a store's health; that of engines follows from requests."""
 
 
-@_note_health.register
+@_record_health.register
 def _(
     source: model.CacheStore, state: states.ForwardingState, answered: bool
 ) -> None:
--- a/toucanrudder/forwarding/orders.py
+++ b/toucanrudder/forwarding/orders.py
@@ -375,7 +375,7 @@
             await self._loader.load(task, report, order)
         except errors.RudderError as error:
             LOG.warning(
-                "engine rejected the order to load weights: %s",
+                "order to load weights failed: %s",
                 error,
                 extra={"peer": name},
             )
--- a/toucanrudder/forwarding/speeds.py
+++ b/toucanrudder/forwarding/speeds.py
@@ -1,9 +1,8 @@
-"""How fast engines read and copy, learned or told.  No I/O.
+"""Prefill and copy speeds of engines, measured or configured.  No I/O.
 
-Load it answers: engines of any make.  Whoever compares a wait with a
-prompt that would have to be read elsewhere needs both in one unit; a
-figure that holds for one engine sends requests to a queue where another
-engine would have been three times slower or faster.
+Engines may be of any make.  Comparing a wait with a prefill elsewhere needs
+both in one unit; a constant that fits one engine would send requests to
+queues of engines that are three times slower or faster.
 """
 
 import collections
@@ -13,48 +12,47 @@
 
 from toucanrudder.forwarding import model
 
-#: Prompt tokens that an engine reads in a second, until it has been seen:
-#: what large models do on one accelerator of today.
+#: Prompt tokens that an engine prefills per second, until there are samples:
+#: typical of large models on one current accelerator.
 PRIOR_TOKENS_PER_S = 60_000.0
 
-#: Least unread tokens of a prompt that says how fast it was read: with
-#: fewer, connection and first step take most of the time.
-LEAST_TOKENS = 2_000
+#: Fewest prefilled tokens of a prompt that counts as a sample: with fewer,
+#: connection and first decode step take most of the time.
+MIN_SAMPLE_TOKENS = 2_000
 
-#: Prompts remembered, and how many are needed to go by them: half a minute
-#: of a router's share, and enough that one odd one does not count.
-KEPT = 64
-LEAST_SAMPLES = 5
+#: Samples samples, about half a minute of a router's share, and the fewest for
+#: an estimate, enough that one outlier does not count.
+MAX_SAMPLES = 64
+MIN_SAMPLES = 5
 
-#: Which of them is taken, of ten.  Prompts that waited seem slow, those of
-#: which the engine had more than was believed seem fast; most that are not
-#: delayed lie near the eighth.
+#: Decile of the samples that is the estimate.  Prompts that were queued seem
+#: slow and those with more cached tokens than believed seem fast; most
+#: undelayed ones lie near the eighth decile.
 DECILE = 8
 
-#: Time of a copy against what the link alone would take: links are shared,
-#: and transfers on one run one after the other.
+#: Time of a copy relative to the link's bandwidth: links are shared, and
+#: transfers on one link are sequential.
 QUEUE_FACTOR = 1.6
 
-#: Time of a copy between zones against one inside a zone.
+#: Time of a copy between zones relative to one inside a zone.
 ZONE_FACTOR = 2.0
 
-#: Seconds for a token that is copied, where the configuration does not say
-#: how large one is or how wide the links are: 164 KB at 1,100 Gbit/s, and
-#: 490 Gbit/s to a store.
+#: Seconds per copied token, if token size or bandwidth is not configured:
+#: 164 KB at 1,100 Gbit/s, and at 490 Gbit/s from a store.
 PRIOR_COPY_S = 1.2e-6
 PRIOR_STORE_S = 2.7e-6
 
 
 class PrefillSpeeds:
-    """Reading speeds of the services' engines, from answers.
+    """Prefill speeds of each service's engines, estimated from answers.
 
     Examples
     --------
     >>> speeds = PrefillSpeeds()
     >>> speeds.tokens_per_s("s")
     60000.0
-    >>> for _ in range(LEAST_SAMPLES):
-    ...     speeds.record_prefill("s", unread_tokens=8_000, took_s=0.4)
+    >>> for _ in range(MIN_SAMPLES):
+    ...     speeds.record_prefill("s", uncached_tokens=8_000, took_s=0.4)
     >>> speeds.tokens_per_s("s")
     20000.0
     """
@@ -64,46 +62,46 @@
         self._tokens_per_s: dict[str, float] = {}
 
     def record_prefill(
-        self, service: str, unread_tokens: int, took_s: float
+        self, service: str, uncached_tokens: int, took_s: float
     ) -> None:
-        """Note how long a prompt took to its first event.
+        """Record the time of a prompt to its first event.
 
         Parameters
         ----------
         service : str
-            Whose engine read it.
-        unread_tokens : int
-            What the engine probably had to read.
+            The service of the engine.
+        uncached_tokens : int
+            Estimated tokens that the engine had to prefill.
         took_s : float
-            From the sending to the first event.
+            Seconds from sending the request to the first event.
         """
-        if unread_tokens < LEAST_TOKENS or took_s <= 0:
+        if uncached_tokens < MIN_SAMPLE_TOKENS or took_s <= 0:
             return
-        kept = self._samples.setdefault(
-            service, collections.deque(maxlen=KEPT)
+        samples = self._samples.setdefault(
+            service, collections.deque(maxlen=MAX_SAMPLES)
         )
-        kept.append(unread_tokens / took_s)
-        if len(kept) >= LEAST_SAMPLES:
-            deciles = statistics.quantiles(kept, n=10, method="inclusive")
+        samples.append(uncached_tokens / took_s)
+        if len(samples) >= MIN_SAMPLES:
+            deciles = statistics.quantiles(samples, n=10, method="inclusive")
             self._tokens_per_s[service] = deciles[DECILE - 1]
 
     def tokens_per_s(self, service: str) -> float:
-        """Return the speed of a service's engines."""
+        """Return the prefill speed of a service's engines."""
         return self._tokens_per_s.get(service, PRIOR_TOKENS_PER_S)
 
 
 @attrs.frozen
 class EngineSpeeds:
-    """What one service's engines do in a second.
+    """Speeds of one service's engines.
 
     Parameters
     ----------
     prefill_tokens_per_s : float
-        Prompt tokens that one reads.
+        Prompt tokens that one engine prefills per second.
     copy_token_s : float
-        Seconds for a token from another engine in the same zone.
+        Seconds per token copied from another engine in the same zone.
     store_token_s : float
-        The same from a store of cached parts.
+        The same from a part store.
     """
 
     prefill_tokens_per_s: float = PRIOR_TOKENS_PER_S
@@ -111,11 +109,11 @@
     store_token_s: float = PRIOR_STORE_S
 
     def tokens(self, seconds: float) -> float:
-        """Return what an engine reads in that time."""
+        """Return the tokens that an engine prefills in that time."""
         return seconds * self.prefill_tokens_per_s
 
     def copy_cost(self, *, same_zone: bool) -> float:
-        """Return the cost of a copied token in tokens that are read.
+        """Return the cost of a copied token in prefilled tokens.
 
         Examples
         --------
@@ -126,7 +124,7 @@
         return self.tokens(QUEUE_FACTOR * factor * self.copy_token_s)
 
     def store_cost(self, *, same_zone: bool) -> float:
-        """Return the same for a token from a store."""
+        """Return the same for a token copied from a store."""
         factor = 1.0 if same_zone else ZONE_FACTOR
         return self.tokens(QUEUE_FACTOR * factor * self.store_token_s)
 
@@ -136,13 +134,13 @@
     store: model.CacheStore | None,
     prefill_tokens_per_s: float,
 ) -> EngineSpeeds:
-    """Return the speeds that follow from the configuration.
+    """Return the speeds for an engine and a store as configured.
 
     Examples
     --------
-    >>> wide = model.Engine(64, 90_000, token_bytes=163_840,
+    >>> engine = model.Engine(64, 90_000, token_bytes=163_840,
     ...     link_bits_per_s=2.2e12)
-    >>> round(engine_speeds(wide, None, 44_000.0).copy_token_s * 1e6, 3)
+    >>> round(engine_speeds(engine, None, 44_000.0).copy_token_s * 1e6, 3)
     0.596
     """
     token_bits = 8 * engine.token_bytes if engine else 0.0
--- a/toucanrudder/forwarding/tests/test_cache_feed.py
+++ b/toucanrudder/forwarding/tests/test_cache_feed.py
@@ -91,7 +91,7 @@
     async def main():
         state, controller = _controller(fault)
         running = asyncio.ensure_future(controller.run())
-        await asyncio.sleep(FAULT_S + 2 * cache_feed.LOOK_S + 2.5)
+        await asyncio.sleep(FAULT_S + 2 * cache_feed.REFRESH_INTERVAL_S + 2.5)
         running.cancel()
         return _known(state)
 
@@ -190,7 +190,7 @@
                 state.cache.add_parts(
                     "e1", cache.make_salt("", version), (part,)
                 )
-            await asyncio.sleep(cache_feed.LOOK_S)
+            await asyncio.sleep(cache_feed.REFRESH_INTERVAL_S)
         running.cancel()
         return state.cache._engines["e1"].salts
 
--- a/toucanrudder/forwarding/tests/test_speeds.py
+++ b/toucanrudder/forwarding/tests/test_speeds.py
@@ -89,5 +89,5 @@
 def test_short_prompts_say_nothing_of_the_speed():
     learned = speeds.PrefillSpeeds()
     for _ in range(50):
-        learned.record_prefill("s", speeds.LEAST_TOKENS - 1, 1.0)
+        learned.record_prefill("s", speeds.MIN_SAMPLE_TOKENS - 1, 1.0)
     assert learned.tokens_per_s("s") == speeds.PRIOR_TOKENS_PER_S
--- a/toucanrudder/forwarding/turns.py
+++ b/toucanrudder/forwarding/turns.py
@@ -46,7 +46,8 @@
     Examples
     --------
     >>> answers = EngineAnswers()
-    >>> answers.record_no_report("i1", 1.0); answers.record_no_report("i1", 3.0)
+    >>> answers.record_no_report("i1", 1.0)
+    >>> answers.record_no_report("i1", 3.0)
     >>> answers.silent_s("i1", 4.0), answers.stuck(4.0)
     (3.0, {'i1': 3.0})
     >>> answers.record_orderable("i1"); answers.stuck(4.0)
--- a/toucanrudder/forwarding/upstream_states.py
+++ b/toucanrudder/forwarding/upstream_states.py
@@ -1,4 +1,4 @@
-"""What this router knows of each upstream's load and health.  No I/O."""
+"""Load and health of each upstream as seen by this router.  No I/O."""
 
 from collections.abc import Iterator
 import contextlib
@@ -7,24 +7,47 @@
 
 from toucanrudder.forwarding import model
 
-#: Seconds after which a told load says nothing any more: requests of the
-#: slowest kind have ended by then.
-LOAD_KEPT_S = 1.0
+#: Seconds after which a reported load is ignored: requests of the slowest
+#: kind have ended by then.
+MAX_LOAD_AGE_S = 1.0
 
-#: First and longest pause after failures in a row.  The first is long
+#: First and longest backoff after consecutive failures.  The first is long
 #: enough for a restarted process to listen again; the longest keeps a
 #: recovered upstream idle for no more than one retry of a caller.
-FIRST_PAUSE_S = 0.3
-LONGEST_PAUSE_S = 3.0
+MIN_BACKOFF_S = 0.3
+MAX_BACKOFF_S = 3.0
 
-#: Weight of the newest result in the failure share: the share follows a
-#: change within about ten requests.
+#: Weight of the newest result in the moving average of failures, which
+#: follows a change within about ten requests.
 FAILURE_SMOOTHING = 0.1
 
 
 @attrs.define
 class UpstreamState:
-    """One upstream process as this router sees it."""
+    """Load and health of one upstream process.
+
+    Parameters
+    ----------
+    requests, prefill_tokens : int
+        Requests of this router there, and their tokens yet to be prefilled.
+    load : model.Load or None
+        The load that the upstream reported last.
+    load_at_s : float
+        Monotonic time of that report.
+    failures_in_row : int
+        Consecutive failures.
+    backoff_until_s : float
+        Monotonic time until which it gets no work after failures.
+    failure_share : float
+        Moving average of failed requests, from 0 to 1.
+    full_until_s : float
+        Monotonic time until which it counts as full.
+    avoided_until_s : float
+        Monotonic time until which it gets no work as it loads weights.
+    last_peer_order_s : float
+        Monotonic time of a peer's last message that it orders the upstream
+        to load weights.
+    """
 
     requests: int = 0
     prefill_tokens: int = 0
@@ -35,39 +58,39 @@
     failure_share: float = 0.0
     full_until_s: float = 0.0
     avoided_until_s: float = 0.0
-    #: When a peer last told that it orders the upstream to load weights.
     last_peer_order_s: float = float("-inf")
 
     def other_requests(self, now_s: float) -> float:
-        """Return the requests there beside this router's, as last told."""
-        if self.load is None or now_s - self.load_at_s > LOAD_KEPT_S:
+        """Return the last reported requests of other senders there."""
+        if self.load is None or now_s - self.load_at_s > MAX_LOAD_AGE_S:
             return 0.0
-        told = self.load.running + self.load.waiting
-        return max(0.0, told - self.requests)
+        reported = self.load.running + self.load.waiting
+        return max(0.0, reported - self.requests)
 
     def waiting_requests(self, now_s: float) -> int:
-        """Return the requests that wait there, as last told."""
-        if self.load is None or now_s - self.load_at_s > LOAD_KEPT_S:
+        """Return the last reported number of queued requests there."""
+        if self.load is None or now_s - self.load_at_s > MAX_LOAD_AGE_S:
             return 0
         return self.load.waiting
 
 
 class UpstreamStates:
-    """States by incarnation."""
+    """Upstream states by incarnation."""
 
     def __init__(self):
         self._states: dict[str, UpstreamState] = {}
 
     def of(self, incarnation: str) -> UpstreamState:
         """Return the state of a process."""
-        # Asked for each engine and request: made only where it is missing.
-        found = self._states.get(incarnation)
-        if found is None:
-            found = self._states[incarnation] = UpstreamState()
-        return found
+        # Called for each engine and request, so a state is created only
+        # where it is missing.
+        state = self._states.get(incarnation)
+        if state is None:
+            state = self._states[incarnation] = UpstreamState()
+        return state
 
     def retain(self, incarnations: set[str]) -> None:
-        """Forget processes that are gone and serve none of our requests."""
+        """Drop other processes unless they still serve our requests."""
         for name in set(self._states) - incarnations:
             if not self._states[name].requests:
                 del self._states[name]
@@ -76,57 +99,57 @@
     def track_request(
         self, incarnation: str, prefill_tokens: int
     ) -> Iterator["TrackedRequest"]:
-        """Count one request for as long as the context is open."""
+        """Count one request while the context is open."""
         state = self.of(incarnation)
         state.requests += 1
-        sent = TrackedRequest(state, prefill_tokens)
+        tracked = TrackedRequest(state, prefill_tokens)
         state.prefill_tokens += prefill_tokens
         try:
-            yield sent
+            yield tracked
         finally:
-            sent.prefill_done()
+            tracked.prefill_done()
             state.requests -= 1
 
     def record_load(
         self, incarnation: str, load: model.Load, now_s: float
     ) -> None:
-        """Note the load that came with an answer."""
+        """Record the load that came with an answer."""
         state = self.of(incarnation)
         state.load, state.load_at_s = load, now_s
 
     def record_success(self, incarnation: str) -> None:
-        """Note a whole answer."""
+        """Record a complete answer."""
         state = self.of(incarnation)
         state.failures_in_row = 0
         state.backoff_until_s = 0.0
         state.failure_share *= 1.0 - FAILURE_SMOOTHING
 
     def record_failure(self, incarnation: str, now_s: float) -> None:
-        """Note a broken answer, or none; leave it alone for a while."""
+        """Record a broken or missing answer; back off exponentially."""
         state = self.of(incarnation)
         self.record_error(incarnation)
         state.failures_in_row += 1
-        pause_s = FIRST_PAUSE_S * 2 ** (state.failures_in_row - 1)
-        state.backoff_until_s = now_s + min(pause_s, LONGEST_PAUSE_S)
+        backoff_s = MIN_BACKOFF_S * 2 ** (state.failures_in_row - 1)
+        state.backoff_until_s = now_s + min(backoff_s, MAX_BACKOFF_S)
 
     def record_error(self, incarnation: str) -> None:
-        """Note a failure that the upstream itself answered with."""
+        """Record an error response of the upstream itself."""
         state = self.of(incarnation)
         state.failure_share += FAILURE_SMOOTHING * (1 - state.failure_share)
 
     def avoid(self, incarnation: str, until_s: float) -> None:
-        """Note until when the upstream takes no work: it loads weights."""
+        """Send the upstream no work until then, as it loads weights."""
         self.of(incarnation).avoided_until_s = until_s
 
     def record_peer_order(
         self, incarnation: str, until_s: float, now_s: float
     ) -> None:
-        """Note that a peer orders the upstream to load weights."""
+        """Record that a peer orders the upstream to load weights."""
         self.avoid(incarnation, until_s)
         self.of(incarnation).last_peer_order_s = now_s
 
     def in_use(self) -> list[tuple[str, int, int]]:
-        """Return name, unread prompt tokens and requests of those in use."""
+        """Return incarnation, tokens to prefill and requests if in use."""
         return [
             (name, state.prefill_tokens, state.requests)
             for name, state in self._states.items()
@@ -136,26 +159,26 @@
     def record_full(
         self, incarnation: str, now_s: float, for_s: float
     ) -> None:
-        """Note that the upstream has refused work for being full."""
+        """Record that the upstream refused a request because it is full."""
         self.of(incarnation).full_until_s = now_s + for_s
 
 
 @attrs.define
 class TrackedRequest:
-    """A request at an upstream.
+    """A request in flight at an upstream.
 
     Parameters
     ----------
     state : UpstreamState
-        Of the upstream.
+        State of the upstream.
     prefill_tokens : int
-        Prompt tokens that it has still to read.
+        Prompt tokens that are yet to be prefilled.
     """
 
     state: UpstreamState
     prefill_tokens: int
 
     def prefill_done(self) -> None:
-        """Note that the prompt has been read: the first event came."""
+        """Record the first event: the prompt has been prefilled."""
         self.state.prefill_tokens -= self.prefill_tokens
         self.prefill_tokens = 0
--- a/toucanrudder/soak/mutants.py
+++ b/toucanrudder/soak/mutants.py
@@ -93,7 +93,7 @@
     Mutant(
         "cache is kept without its wall",
         "forwarding/cache.py",
-        'return f"{version}.{wall}" if wall else version',
+        'return f"{version}.{cache_scope}" if cache_scope else version',
         "return version",
     ),
     Mutant(
