--- a/toucanrudder/forwarding/attempt.py
+++ b/toucanrudder/forwarding/attempt.py
@@ -1,4 +1,4 @@
-"""One try of a request at one upstream."""
+"""One attempt of a request at one upstream."""
 
 import asyncio
 from typing import TYPE_CHECKING
@@ -21,47 +21,49 @@
 if TYPE_CHECKING:
     from toucanrudder.forwarding import execution as executions
 
-#: Longest answer that is held until it is whole, so that a broken one can
-#: still be tried elsewhere or be answered as a failure.
+#: Longest answer that is buffered until it is complete, so that a truncated
+#: one can still be retried elsewhere or be reported as a failure.
 MAX_BUFFERED_BYTES = 262_144
 
-#: Seconds for a new connection: several round trips between zones and no
-#: retransmission, which takes a second; a second try elsewhere is faster.
+#: Timeout of a new connection: several round trips between availability
+#: zones, but less than a TCP retransmission (1 s), as a retry elsewhere is
+#: faster than that.
 CONNECT_TIMEOUT_S = 0.3
 
-#: A request that may run once is sent on a kept connection only if that
-#: was used this lately: one that crosses the upstream's close cannot be
-#: sent again, as nothing proves that it has not run.
+#: Longest idle time of a kept-alive connection that carries a request which
+#: may run only once.  If the upstream closes the connection just as the
+#: request is sent, nothing proves that it has not run, and it cannot be
+#: sent again.
 MAX_IDLE_RUN_ONCE_S = 0.5
 
-#: Objectives after which a request that may be repeated is taken from an
-#: upstream that has not begun to answer, and given to another.
+#: Timeout until the first part of an answer, as a multiple of the route's
+#: latency objective, after which a repeatable request is sent to another
+#: upstream.
 FIRST_PART_TIMEOUT_OBJECTIVES = 3.0
 
-#: Pauses (longest allowed between two events) of silence after which a
-#: stream is taken for lost, or its engine is asked about it.
+#: Silence, as a multiple of the route's longest allowed gap between events,
+#: after which a stream counts as lost or its engine is asked for a report.
 SILENCE_TIMEOUT_GAPS = 2.5
 
-#: Least seconds of silence before a question about a run.
+#: Least seconds of silence before the engine is asked about a run.
 MIN_SILENCE_S = 0.15
 
-#: Seconds within which an engine is to notice that its connection was
-#: closed.
+#: Seconds within which an engine must end a run whose connection was closed.
 ENGINE_STOP_TIMEOUT_S = 1.0
 
-#: Statuses by which callers take it that a request has not run.
+#: Statuses that tell callers that a request has not run.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
 class AttemptFailed(Exception):
-    """A try ended without a whole answer.
+    """An attempt ended without a complete answer.
 
     Parameters
     ----------
     kind : retry_policy.FailureKind
-        How.
+        How it failed.
     answer : tuple or None
-        Head and body of a failure that the upstream answered with.
+        Head and body of the upstream's error answer, if it sent one.
     """
 
     def __init__(self, kind: retry_policy.FailureKind, answer=None):
@@ -88,7 +90,7 @@
 def _proof_not_run(
     facts: dialects.AnswerFacts,
 ) -> retry_policy.FailureKind | None:
-    """Return how the upstream proved that it has not run the request."""
+    """Return the failure kind of an answer that proves "not run"."""
     if facts.is_other_process:
         return retry_policy.FailureKind.NOT_THERE
     if facts.has_other_weights:
@@ -109,11 +111,11 @@
 
 
 def _matches_request(facts: dialects.AnswerFacts, *, reused: bool) -> bool:
-    """Return whether an answer is that to the request under way.
+    """Return whether an answer belongs to the current request.
 
-    An upstream that refuses before it has read the request cannot name
-    it.  On a connection that has carried another request, the refusal may
-    be that one's, left over or sent twice, while this one runs.
+    An upstream that refuses before it has read the request cannot return
+    its ID.  On a reused connection such a refusal may be a late or
+    duplicate answer to an earlier request while the current one runs.
     """
     if facts.names_no_request:
         return not reused and _proof_not_run(facts) is not None
@@ -122,14 +124,14 @@
 
 @attrs.define(eq=False)
 class Attempt:
-    """A request at the upstream that was chosen for it.
+    """One attempt of a request at a chosen upstream.
 
     Parameters
     ----------
     execution : executions.RequestExecution
-        The request's way so far.
+        The request with its earlier attempts.
     choice : placing.Choice
-        Where it goes now.
+        The upstream, and where it gets cached parts from.
     """
 
     execution: "executions.RequestExecution"
@@ -141,7 +143,7 @@
 
     @property
     def state(self) -> states.ForwardingState:
-        """This router's tables."""
+        """The shared state of this router."""
         return self.execution.state
 
     @property
@@ -151,27 +153,29 @@
 
     @property
     def prompt(self) -> model.Prompt | None:
-        """What the request asks a model."""
+        """The request's prompt; None for a plain request."""
         return self.execution.call.prompt
 
     async def run(self) -> None:
-        """Pass the upstream's whole answer on to the caller.
+        """Relay the upstream's complete answer to the caller.
 
         Raises
         ------
         AttemptFailed
-            There was none.
+            There was no complete answer.
         """
         choice = self.choice
         upstream = choice.upstream
         name = self.execution.upstream = upstream.incarnation
         with self.state.upstream_stats.track_request(
             name, choice.missing_tokens
-        ) as sent:
+        ) as tracked:
             try:
                 async with self._connection(upstream) as connection:
                     self._send(connection, choice)
-                    failure = await self._receive(connection, upstream, sent)
+                    failure = await self._receive(
+                        connection, upstream, tracked
+                    )
             except client.ExchangeError as error:
                 raise AttemptFailed(_failure_kind(error)) from error
             except AttemptFailed:
@@ -182,16 +186,16 @@
         self.state.upstream_stats.record_success(name)
 
     def _connection(self, upstream: model.Upstream):
-        newest_idle_s = float("inf")
+        max_idle_s = float("inf")
         if self.route.repetition is model.Repetition.ONCE:
-            newest_idle_s = MAX_IDLE_RUN_ONCE_S
+            max_idle_s = MAX_IDLE_RUN_ONCE_S
         return self.state.pool.connection(
             upstream.address,
             connect_timeout_s=min(
                 CONNECT_TIMEOUT_S, self.execution.remaining_s()
             ),
             clock=clock.now_s,
-            newest_idle_s=newest_idle_s,
+            newest_idle_s=max_idle_s,
             without=self.execution.used_connections,
         )
 
@@ -200,13 +204,13 @@
     ) -> None:
         upstream = choice.upstream
         if self.state.registry.get(upstream.incarnation) is None:
-            # It went while the connection was being opened.
+            # It was deregistered while the connection was opened.
             raise AttemptFailed(retry_policy.FailureKind.NOT_THERE)
         copy_upstream = self.execution.copy_upstream
         head = self.execution.dialect.upstream_request(
             self.execution.request.head,
             self.execution.request.body,
-            self.execution.matched,
+            self.execution.route_match,
             dialects.Instructions(
                 upstream=upstream,
                 remaining_s=self.execution.remaining_s(),
@@ -232,12 +236,12 @@
         now_s = clock.now_s()
         upstream = choice.upstream
         state = self.state.upstream_stats.of(upstream.incarnation)
-        organisation = self.execution.matched.organisation
+        organisation = self.execution.route_match.organisation
         version = self._weights_version(upstream)
         age_s = 0.0
         if version is not None:
-            named = self.state.newest_weights.get(self.prompt.model)
-            age_s = named.age_s(version, now_s) if named else 0.0
+            history = self.state.newest_weights.get(self.prompt.model)
+            age_s = history.age_s(version, now_s) if history else 0.0
         decisions.record(
             decisions.Placed(
                 request_id=self.execution.call.request_id,
@@ -277,9 +281,9 @@
         )
 
     def _first_part_timeout_s(self) -> float | None:
-        """Return how long the first part of an answer may take."""
+        """Return the timeout of an answer's first part; None for no limit."""
         if self.route.repetition is model.Repetition.ONCE:
-            # Nothing could follow, and the answer may still come.
+            # No retry is possible, and the answer may still arrive.
             return None
         if (
             self.execution.progress.possible_runs + 1
@@ -289,11 +293,12 @@
         return FIRST_PART_TIMEOUT_OBJECTIVES * self.route.objective_s
 
     async def _receive(
-        self, connection, upstream, sent
+        self, connection, upstream, tracked
     ) -> AttemptFailed | None:
-        """Pass the answer on; return what it says of a request not served.
+        """Relay the answer; return the failure that it reports, if any.
 
-        A returned failure has left the connection fit for further use.
+        After a returned failure the connection can be reused; after a
+        raised one it cannot.
         """
         head = await self._next_event(connection, self._first_part_timeout_s())
         facts = self.execution.dialect.answer_facts(
@@ -301,20 +306,21 @@
         )
         self.evidence.identity = _answer_identity(facts)
         if not _matches_request(facts, reused=connection.reused):
-            # Nothing is learned from it: weights that another engine has
-            # would be believed of this one for as long as it lives, and
-            # nobody would order it to load them.
+            # The answer's load and weights are ignored: if they were those
+            # of another engine, this one would count as having the new
+            # weights for its lifetime and would never be ordered to load
+            # them.
             raise AttemptFailed(retry_policy.FailureKind.CROSSED)
         self._update_from_answer(upstream, facts)
         connection.keep_for_s = pool.keep_for_s(head.headers)
-        refused = _proof_not_run(facts)
-        if refused is not None:
+        not_run = _proof_not_run(facts)
+        if not_run is not None:
             await self._drain_body(connection)
-            return AttemptFailed(refused)
+            return AttemptFailed(not_run)
         if head.status < 300 and not facts.is_sealed:
             raise AttemptFailed(retry_policy.FailureKind.CROSSED)
         if head.status < 300 and self.route.is_stream:
-            await self._relay_stream(connection, head, upstream, sent)
+            await self._relay_stream(connection, head, upstream, tracked)
             return None
         return await self._buffer_answer(connection, head, facts)
 
@@ -336,7 +342,7 @@
             await self._read_body(connection)
         except client.ExchangeError:
             # The head has proved that the request has not run; only the
-            # connection is of no more use.
+            # connection cannot be reused.
             connection.keep_for_s = None
 
     async def _read_body(self, connection) -> bytes:
@@ -352,33 +358,34 @@
     async def _buffer_answer(
         self, connection, head, facts
     ) -> AttemptFailed | None:
-        """Read a whole answer, then pass it on or return it as a failure."""
+        """Buffer a whole answer, then relay it or return a failure."""
         body = await self._read_body(connection)
-        # The upstream did not prove that it has not run the request, so a
-        # status that says so to the caller is not passed on.
-        is_true = facts.is_sealed and head.status not in NOT_RUN_STATUSES
-        if head.status < 500 and is_true:
+        # Without proof that the request has not run, a status that would
+        # tell the caller so is not relayed.
+        is_reliable = facts.is_sealed and head.status not in NOT_RUN_STATUSES
+        if head.status < 500 and is_reliable:
             await self.execution.send_answer(head, body)
             return None
         return AttemptFailed(
-            retry_policy.FailureKind.FAILED, (head, body) if is_true else None
+            retry_policy.FailureKind.FAILED,
+            (head, body) if is_reliable else None,
         )
 
-    async def _relay_stream(self, connection, head, upstream, sent) -> None:
+    async def _relay_stream(self, connection, head, upstream, tracked) -> None:
         splitter = events.EventSplitter()
         while True:
             event = await self._next_stream_event(connection)
             if isinstance(event, client.End):
                 break
             try:
-                whole = splitter.feed(event.content)
+                complete_events = splitter.feed(event.content)
             except ValueError:
                 raise AttemptFailed(retry_policy.FailureKind.CROSSED) from None
-            if whole:
-                if sent.prefill_tokens:
-                    self._record_prompt_read(upstream, sent.prefill_tokens)
-                    sent.prefill_done()
-                await self._relay_events(head, whole)
+            if complete_events:
+                if tracked.prefill_tokens:
+                    self._record_prompt_read(upstream, tracked.prefill_tokens)
+                    tracked.prefill_done()
+                await self._relay_events(head, complete_events)
         if splitter.rest:
             raise AttemptFailed(retry_policy.FailureKind.BROKEN)
         if not self.execution.answer.started:
@@ -388,9 +395,9 @@
     def _record_prompt_read(
         self, upstream: model.Upstream, unread_tokens: int
     ) -> None:
-        """Learn from the first event: the prompt has been read."""
+        """Update prefill speed and cache index at the first event."""
         if not self.choice.copied_tokens:
-            # A copy takes time of its own.
+            # Copying takes time that is not prefill time.
             self.state.prefill_speeds.record_prefill(
                 self.execution.service,
                 unread_tokens,
@@ -404,21 +411,21 @@
             )
 
     async def _next_stream_event(self, connection):
-        limit_s = None
+        timeout_s = None
         resumable = self.route.repetition is model.Repetition.RESUMABLE
         if resumable or self.execution.copy_may_exist():
-            limit_s = SILENCE_TIMEOUT_GAPS * self.route.event_gap_s
+            timeout_s = SILENCE_TIMEOUT_GAPS * self.route.event_gap_s
             if not self.execution.progress.events:
-                limit_s = self._first_part_timeout_s()
-        return await self._next_event(connection, limit_s)
+                timeout_s = self._first_part_timeout_s()
+        return await self._next_event(connection, timeout_s)
 
-    async def _next_event(self, connection, limit_s: float | None):
-        """Return the answer's next part, or end a try that lost it."""
-        if limit_s is not None:
-            limit_s = max(limit_s, MIN_SILENCE_S)
+    async def _next_event(self, connection, timeout_s: float | None):
+        """Return the answer's next part; raise AttemptFailed if it is lost."""
+        if timeout_s is not None:
+            timeout_s = max(timeout_s, MIN_SILENCE_S)
         while True:
             try:
-                async with asyncio.timeout(limit_s):
+                async with asyncio.timeout(timeout_s):
                     return await connection.next_event()
             except TimeoutError:
                 if await self._is_answer_lost(connection):
@@ -427,23 +434,24 @@
                     ) from None
 
     async def _is_answer_lost(self, connection) -> bool:
-        """Say whether a silent answer is lost.
-
-        A run that waits for memory, or was put back for a more urgent one,
-        is silent as well.  Taken for lost it was cut, and the engine with
-        its copy did not always go on: the caller lost an answer that was
-        being made.  What may run again is sent elsewhere without asking.
-
-        An engine under pressure gives no report, but its runs go on.  An
-        engine that is gone shows by its connection, which the kernel ends
-        when the path is silent.  So without a report the engine is asked
-        again.
+        """Return whether an answer without progress is lost.
+
+        A run that waits for memory, or was preempted by a more urgent one,
+        makes no progress either.  Cutting such a run lost answers that
+        were still being generated, as the engine with its copy does not
+        always continue.  A request that may be repeated is sent elsewhere
+        without asking the engine.
+
+        An overloaded engine may send no report although its runs continue.
+        An engine that is gone is detected by its connection, which the
+        kernel closes when the path is silent.  So if there is no report,
+        the engine is asked again later.
         """
         if self.route.repetition is not model.Repetition.ONCE:
             self.evidence.silence = retry_policy.SilenceFinding.NOT_ASKED
             return True
         if not self.execution.can_continue_from_copy():
-            # Nothing could follow, and the answer may still come.
+            # No retry is possible, and the answer may still arrive.
             return False
         report = await self.state.fetch_engine_report(self.choice.upstream)
         if report is None:
@@ -451,7 +459,7 @@
             return False
         self.evidence.silence = retry_policy.SilenceFinding.NONE
         if connection.has_news:
-            # The report may count what came after the question.
+            # The report may count events that arrived since it was requested.
             return False
         request_id = self.execution.call.request_id
         if not report.has_lost_events(
@@ -466,10 +474,10 @@
     async def _wait_for_engine_stop(self) -> None:
         """Wait until an engine whose events were lost has ended its run.
 
-        It worked on when it was last heard, and not every engine notices at
-        once that its connection was closed.  What may run once must not go
-        on from its copy meanwhile, so one that works on for too long leaves
-        no copy to go on from.
+        The run was still in progress at the last report, and not every
+        engine notices immediately that its connection was closed.  A
+        request that may run only once must not be continued from its copy
+        meanwhile; if the run does not end in time, the copy is not used.
         """
         if (
             self.evidence.silence
@@ -491,17 +499,17 @@
         return report is not None and request_id not in report.events
 
     async def _relay_events(
-        self, head: message.AnswerHead, whole: list[bytes]
+        self, head: message.AnswerHead, complete_events: list[bytes]
     ) -> None:
         if not self.execution.answer.started:
             await self.execution.start_stream(head)
-        await self.execution.answer.write(b"".join(whole))
+        await self.execution.answer.write(b"".join(complete_events))
         self.execution.record_stream_events()
-        last = self.execution.dialect.event_id(whole[-1])
-        if last is not None:
-            self.execution.last_event_id = last
+        last_id = self.execution.dialect.event_id(complete_events[-1])
+        if last_id is not None:
+            self.execution.last_event_id = last_id
         self.execution.progress = attrs.evolve(
             self.execution.progress,
-            events=self.execution.progress.events + len(whole),
-            can_resume=last is not None,
+            events=self.execution.progress.events + len(complete_events),
+            can_resume=last_id is not None,
         )
--- a/toucanrudder/forwarding/execution.py
+++ b/toucanrudder/forwarding/execution.py
@@ -1,4 +1,4 @@
-"""One request's way over one or more upstreams."""
+"""Execution of one request with retries on other upstreams."""
 
 import asyncio
 import time
@@ -22,57 +22,66 @@
 from toucanrudder.observability import decisions
 from toucanrudder.observability import metrics
 
-#: When a refused caller is to come back, if nothing better is known: a
-#: slot of a plain service frees within about its mean work time.
+#: Default ``Retry-After`` of a refusal: a slot of a plain service becomes
+#: free within about its mean service time.
 RETRY_AFTER_S = 0.25
 
-#: The same while all engines have weights that are too old: the first one
-#: that is being loaded has new ones after about half a second.
+#: The same while the weights of all engines are too old: the first engine
+#: that is loading has new ones after about half a second.
 STALE_WEIGHTS_RETRY_AFTER_S = 0.5
 
-#: Part of a caller's remaining time that a request may wait here: it must
-#: leave him time to come back.
+#: Share of a caller's remaining time that a request may wait here; the
+#: rest leaves the caller time to retry.
 MAX_WAIT_SHARE = 0.25
 
-#: How long an upstream that was full is left alone.
+#: Backoff after a refusal by a full upstream.
 FULL_BACKOFF_S = 0.05
 
 
 def record_duration(kind: str, outcome: str, seconds: float) -> None:
-    """Count a request that has ended, by its length."""
+    """Record the duration of a finished request."""
     metrics.histogram(
         "toucanrudder_request_seconds", "s", "From first byte to the end"
     ).record(seconds, {"kind": kind, "outcome": outcome})
 
 
 def time_limit_s(route: model.Route, call: model.Call) -> float:
-    """Return how long a request may take in all."""
+    """Return the time limit of a request, including all attempts."""
     if call.wait_s is None:
         return route.timeout_s
     return min(route.timeout_s, call.wait_s)
 
 
-def max_wait_s(route: model.Route, left_s: float) -> float:
-    """Return for how long a request may wait before it is sent."""
-    return min(route.objective_s / 2, MAX_WAIT_SHARE * left_s)
+def max_wait_s(route: model.Route, remaining_s: float) -> float:
+    """Return how long a request may wait in the router before it is sent."""
+    return min(route.objective_s / 2, MAX_WAIT_SHARE * remaining_s)
 
 
 @attrs.define(eq=False)
 class RequestExecution:
-    """One request's way over one or more upstreams.
+    """One request with its attempts on one or more upstreams.
 
     Attributes
     ----------
+    tried_incarnations : set of str
+        Upstreams that were tried.
     used_connections : list of client.UpstreamConnection
-        Connections that have carried the request.  Another answer to it
-        may still come on them, so they never carry it again.
+        Connections that have carried the request.  A late answer to an
+        earlier attempt may still arrive on them, so they never carry the
+        request again.
+    copy_upstream : model.Upstream or None
+        Engine that was asked to hold a copy of the run's KV cache.
+    continues_from_copy : bool
+        Whether the current attempt continues a run from such a copy.
+    is_in_flight : bool
+        Whether the current attempt was sent and has not failed.
     """
 
     state: states.ForwardingState
     dialect: dialects.Dialect
     request: server.Request
     answer: server.Answer
-    matched: routing.RouteMatch
+    route_match: routing.RouteMatch
     service: str
     deadline_s: float = 0.0
     progress: retry_policy.Progress = attrs.field(
@@ -97,15 +106,15 @@
     @property
     def route(self) -> model.Route:
         """The request's route."""
-        return self.matched.route
+        return self.route_match.route
 
     @property
     def call(self) -> model.Call:
-        """The request as it was read."""
-        return self.matched.call
+        """The request's head in the terms of the router."""
+        return self.route_match.call
 
     async def run(self) -> None:
-        """Answer the request, or raise RudderError."""
+        """Answer the request; raise RudderError if that fails."""
         now_s = clock.now_s()
         self.deadline_s = self.request.began_s + time_limit_s(
             self.route, self.call
@@ -119,11 +128,11 @@
             raise self._timeout_error() from None
 
     def possible_runs(self) -> int:
-        """Return on how many upstreams it may have run."""
+        """Return how many upstreams may have run the request."""
         return self.progress.possible_runs + self.is_in_flight
 
     def record_answered(self) -> None:
-        """Write down that the caller has got a whole answer."""
+        """Log and count a completely delivered answer."""
         whole_s = clock.now_s() - self.request.began_s
         decisions.record(
             decisions.Answered(
@@ -149,7 +158,7 @@
         ).record(self.first_part_s, {"kind": kind})
 
     def record_stream_events(self) -> None:
-        """Note that events of a stream have been passed on now."""
+        """Update the event timings after events were relayed."""
         now_s = clock.now_s()
         if not self.last_event_at_s:
             self.first_event_at_s = now_s
@@ -162,13 +171,13 @@
         if self.is_in_flight or self.progress.possible_runs:
             return errors.RudderError(
                 errors.Code.UPSTREAM_TIMEOUT,
-                "no answer within the time that was left",
+                "the upstream did not answer before the deadline",
                 step=retry_policy.STEP,
                 ran=errors.Ran.UNKNOWN,
             )
         return errors.RudderError(
             errors.Code.DEADLINE_UNMET,
-            "no upstream took the request in time",
+            "no upstream accepted the request before the deadline",
             step=retry_policy.STEP,
             retry_after_s=RETRY_AFTER_S,
         )
@@ -201,16 +210,18 @@
                 choice = await self._choose_with_wait()
 
     async def _choose_with_wait(self) -> placing.Choice:
-        """Choose an upstream; wait a little while all of them are full.
+        """Choose an upstream; wait up to a limit while all are full.
 
-        Upstreams refuse for moments only, while they load or when a burst
-        fills their queues; sent back at once, callers would return in the
-        same moment.
+        Upstreams refuse for short times only, while they load weights or
+        a burst fills their queues.  Callers that were refused immediately
+        would all retry at once.
         """
-        give_up_s = clock.now_s() + max_wait_s(self.route, self.remaining_s())
+        wait_until_s = clock.now_s() + max_wait_s(
+            self.route, self.remaining_s()
+        )
         while True:
-            # Looked at before the choice: one that took long is not the last.
-            is_last = clock.now_s() >= give_up_s
+            # Checked before the choice, so that a slow choice is not the last.
+            is_last = clock.now_s() >= wait_until_s
             try:
                 return self._choose()
             except errors.RudderError as error:
@@ -228,9 +239,9 @@
             candidates, now_s, self.state.pace.bound_s
         )
         usable = [
-            each
-            for each in usable
-            if each.upstream.incarnation not in self.tried_incarnations
+            candidate
+            for candidate in usable
+            if candidate.upstream.incarnation not in self.tried_incarnations
         ] or usable
         if not usable:
             raise self._no_upstream_error(candidates)
@@ -265,9 +276,9 @@
         engine = service.engine if service else None
         if engine is None or not engine.takes_copies:
             return None
-        once = self.route.repetition is model.Repetition.ONCE
-        if not self.route.is_stream or not once:
-            # What may be resumed is run anew elsewhere at no risk.
+        is_run_once = self.route.repetition is model.Repetition.ONCE
+        if not self.route.is_stream or not is_run_once:
+            # Resumable requests can safely be run again elsewhere.
             return None
         return placing.choose_backup(
             choice, self.call.prompt, engine, candidates, now_s
@@ -286,22 +297,22 @@
         if not candidates:
             code = errors.Code.NO_UPSTREAM
         elif all(
-            placing.time_to_cutoff_s(each, bound_s, now_s) <= 0
-            for each in candidates
+            placing.time_to_cutoff_s(candidate, bound_s, now_s) <= 0
+            for candidate in candidates
         ):
             code = errors.Code.WEIGHTS_TOO_OLD
             retry_after_s = STALE_WEIGHTS_RETRY_AFTER_S
         return errors.RudderError(
             code,
-            "no upstream can take the request now",
+            "no upstream can accept the request now",
             step=retry_policy.STEP,
             peer=self.service,
             retry_after_s=retry_after_s,
         )
 
     def cache_scope(self) -> str:
-        """Return who shares its cache; the empty string for all."""
-        organisation = self.matched.organisation
+        """Return the organisation with its own cache; empty if shared."""
+        organisation = self.route_match.organisation
         if organisation is not None and organisation.is_isolated:
             return organisation.name
         return ""
@@ -312,29 +323,32 @@
         upstream: model.Upstream,
         evidence: retry_policy.Evidence,
     ) -> retry_policy.Step:
-        """Note how a try ended; say what is to follow."""
-        ended = failure.kind
-        self._update_upstream_state(ended, upstream)
+        """Record a failed attempt and return the next step."""
+        failure_kind = failure.kind
+        self._update_upstream_state(failure_kind, upstream)
         self.is_in_flight = False
-        ran = ended not in retry_policy.PROVES_NOT_RUN
+        may_have_run = failure_kind not in retry_policy.PROVES_NOT_RUN
         self.progress = attrs.evolve(
             self._current_progress(),
             attempts=self.progress.attempts + 1,
-            possible_runs=self.progress.possible_runs + ran,
+            possible_runs=self.progress.possible_runs + may_have_run,
         )
         self.continues_from_copy = False
         step = retry_policy.next_step(
-            ended, self.progress, self.route, remaining_s=self.remaining_s()
+            failure_kind,
+            self.progress,
+            self.route,
+            remaining_s=self.remaining_s(),
         )
         if self.is_poison():
             step = retry_policy.Step.GIVE_UP
-        step = self._apply_retry_budget(ended, step)
+        step = self._apply_retry_budget(failure_kind, step)
         decisions.record(
             decisions.TryEnded(
                 request_id=self.call.request_id,
                 upstream=upstream.incarnation,
                 attempt=self.progress.attempts,
-                ended=ended.value,
+                ended=failure_kind.value,
                 after_s=clock.now_s() - self.request.began_s,
                 may_have_run=bool(self.progress.possible_runs),
                 events=self.progress.events,
@@ -353,27 +367,27 @@
         return step
 
     def _apply_retry_budget(
-        self, ended: retry_policy.FailureKind, step: retry_policy.Step
+        self, failure_kind: retry_policy.FailureKind, step: retry_policy.Step
     ) -> retry_policy.Step:
-        # Where nothing arrived, nothing arrives twice.
-        arrived = ended is not retry_policy.FailureKind.NOT_REACHED
-        if step is retry_policy.Step.GIVE_UP or not arrived:
+        # An attempt that reached no upstream adds no load there.
+        was_reached = failure_kind is not retry_policy.FailureKind.NOT_REACHED
+        if step is retry_policy.Step.GIVE_UP or not was_reached:
             return step
         window = self.state.retries_for(self.service)
         if not window.spend(clock.now_s(), self.state.live_routers()):
             metrics.refused("retry_budget_spent", retry_policy.STEP)
             return retry_policy.Step.GIVE_UP
-        metrics.retried(ended.value)
+        metrics.retried(failure_kind.value)
         return step
 
     def _streamed_s(self) -> float:
-        """Return the time since the caller got the first event."""
+        """Return the time since the first event was delivered."""
         if not self.progress.events:
             return 0.0
         return clock.now_s() - self.first_event_at_s
 
     def can_continue_from_copy(self) -> bool:
-        """Whether another engine can go on with the run now."""
+        """Whether another engine can now continue the run from its copy."""
         return self._current_progress().can_continue_from_copy
 
     def _current_progress(self) -> retry_policy.Progress:
@@ -384,31 +398,31 @@
         )
 
     def copy_may_exist(self) -> bool:
-        """Whether the engine that was to hold a copy can still have it."""
+        """Whether the backup engine may still hold its copy of the run."""
         if self.copy_upstream is None:
             return False
         weights = self.copy_upstream.weights
         known = self.state.registry.get(self.copy_upstream.incarnation)
         if known is None or known.is_leaving or known.weights != weights:
             return False
-        # Under new weights a run goes on with memory made under both.
-        runs_at = self.state.registry.get(self.upstream)
-        return runs_at is None or runs_at.weights == weights
+        # After a load of new weights, the KV cache mixes both versions.
+        runner = self.state.registry.get(self.upstream)
+        return runner is None or runner.weights == weights
 
     def _update_upstream_state(
-        self, ended: retry_policy.FailureKind, upstream: model.Upstream
+        self, failure_kind: retry_policy.FailureKind, upstream: model.Upstream
     ) -> None:
         now_s = clock.now_s()
         name = upstream.incarnation
-        if ended is retry_policy.FailureKind.FULL:
+        if failure_kind is retry_policy.FailureKind.FULL:
             self.state.upstream_stats.record_full(name, now_s, FULL_BACKOFF_S)
-        elif ended is retry_policy.FailureKind.FAILED:
+        elif failure_kind is retry_policy.FailureKind.FAILED:
             self.state.upstream_stats.record_error(name)
-        elif ended is retry_policy.FailureKind.OTHER_WEIGHTS:
+        elif failure_kind is retry_policy.FailureKind.OTHER_WEIGHTS:
             self.state.report_weights_mismatch(upstream)
         else:
             self.state.upstream_stats.record_failure(name, now_s)
-        if ended is retry_policy.FailureKind.BROKEN:
+        if failure_kind is retry_policy.FailureKind.BROKEN:
             self.state.crash_counts.record_crash(
                 self._fingerprint(),
                 upstream,
@@ -430,7 +444,7 @@
         )
 
     def _fingerprint(self) -> str:
-        organisation = self.matched.organisation
+        organisation = self.route_match.organisation
         return poison.fingerprint(
             organisation.name if organisation else "",
             self.request.head.target,
@@ -438,25 +452,27 @@
         )
 
     def is_poison(self) -> bool:
-        """Whether upstreams have broken off under it too often."""
-        breaks = self.state.crash_counts
-        # Hashing a body for each request would be paid for by all others.
-        return not breaks.is_empty and breaks.is_poison(self._fingerprint())
+        """Whether the request is quarantined because upstreams crashed."""
+        crash_counts = self.state.crash_counts
+        # Without recorded crashes, no request body needs to be hashed.
+        return not crash_counts.is_empty and crash_counts.is_poison(
+            self._fingerprint()
+        )
 
-    # The answer.
+    # Answer to the caller.
 
     def _record_first_part(self, status: int) -> None:
         self.status = status
         self.first_part_s = clock.now_s() - self.request.began_s
 
     async def send_answer(self, head: message.AnswerHead, body: bytes) -> None:
-        """Give the caller an upstream's whole answer."""
+        """Send a complete upstream answer to the caller."""
         self._record_first_part(head.status)
         headers = message.end_to_end(head.headers, (b"content-length",))
         await self.answer.whole(head.status, headers, body)
 
     async def start_stream(self, head: message.AnswerHead) -> None:
-        """Give the caller the head of an upstream's stream."""
+        """Send the head of a streamed upstream answer to the caller."""
         self._record_first_part(head.status)
         headers = message.end_to_end(head.headers, (b"content-length",))
         await self.answer.start(head.status, headers)
--- a/toucanrudder/forwarding/forwarder.py
+++ b/toucanrudder/forwarding/forwarder.py
@@ -125,8 +125,8 @@
     ) -> None:
         call = self.dialect.read_call(request.head)
         summary.request_id = call.request_id
-        matched = self.state.table().match(call)
-        route = matched.route
+        route_match = self.state.table().match(call)
+        route = route_match.route
         summary.route, summary.kind = route.name, route.repetition.value
         self._refuse_if_cut_by_stop(route, call)
         execution = executions.RequestExecution(
@@ -134,13 +134,13 @@
             self.dialect,
             request,
             answer,
-            matched,
+            route_match,
             routing.pick_service(route, self.state.rng),
         )
         _check_poison(execution)
         summary.attempt_count = lambda: execution.attempt_count
         admitted = self.gate.admitted(
-            matched.organisation,
+            route_match.organisation,
             call.prompt,
             execution.possible_runs,
             wait_s=executions.max_wait_s(
--- a/toucanrudder/forwarding/model.py
+++ b/toucanrudder/forwarding/model.py
@@ -1,4 +1,4 @@
-"""What an operator configures and what upstreams register."""
+"""Configuration, registered upstreams and requests."""
 
 from collections.abc import Mapping
 import enum
@@ -7,7 +7,7 @@
 
 from toucanrudder.admission import caps
 
-#: No prompt, nor answer, is larger.
+#: Upper bound of the tokens of a prompt or an answer.
 MAX_TOKENS = 10**9
 
 _NOT_NEGATIVE = attrs.validators.ge(0)
@@ -15,13 +15,13 @@
 
 
 class Repetition(enum.Enum):
-    """What may be done with a request that has possibly run."""
+    """What may be done with a request that may have run."""
 
     #: It may run again.
     IDEMPOTENT = "idempotent"
-    #: It runs once at most.
+    #: It must run at most once.
     ONCE = "once"
-    #: A stream that another upstream may go on with.
+    #: A stream that another upstream may resume.
     RESUMABLE = "resumable"
 
 
@@ -35,31 +35,31 @@
 
 @attrs.frozen
 class Route:
-    """Where requests for a host and a path go.
+    """Routing rule for requests to a host and a path.
 
     Parameters
     ----------
     name, host, path_prefix : str
-        What it is and what it takes.
+        Its name, and which requests it matches.
     splits : tuple of Split
         Services by weight.
     repetition : Repetition
-        What may be repeated.
+        Whether requests may be repeated.
     is_stream : bool
         Whether answers are server-sent events.
     max_upstreams : int
-        Upstreams that one request may run on.
+        Upstreams that may run one request.
     timeout_s : float
-        Longest time until its answer is whole.
+        Time limit until the answer is complete.
     objective_s : float
-        Time to the answer, or to a stream's first event, within which it
-        is worth most.
+        Latency objective: time to the answer, or to a stream's first
+        event.
     event_gap_s : float
-        Longest pause between two events of a stream.
+        Longest allowed gap between two events of a stream.
     priority : int
         Rank; 0 is the most urgent.
     is_public : bool
-        Whether it takes requests without a key.
+        Whether requests without a key are accepted.
     """
 
     name: str
@@ -78,20 +78,21 @@
 
 @attrs.frozen
 class Engine:
-    """What is known of a service's engines from the configuration.
+    """Configured properties of a service's engines.
 
     Parameters
     ----------
     slots : int
-        Requests that one runs at once.
+        Requests that one engine runs concurrently.
     cache_tokens : int
-        Tokens that its memory holds.
+        Capacity of its KV cache in tokens.
     takes_copies : bool
-        Whether it can hold a copy of another's run and go on with it.
+        Whether it can hold a copy of another engine's run and continue it.
     token_bytes : float
-        Memory of one token, which a copy moves; 0 if it is not told.
+        KV cache size of one token, as transferred by a copy; 0 if not
+        configured.
     link_bits_per_s : float
-        Width of its link for copies; 0 if it is not told.
+        Bandwidth of its link for copies; 0 if not configured.
     """
 
     slots: int
@@ -103,7 +104,7 @@
 
 @attrs.frozen
 class Service:
-    """A group of equal upstreams."""
+    """A group of interchangeable upstreams."""
 
     name: str
     engine: Engine | None = None
@@ -111,7 +112,7 @@
 
 @attrs.frozen
 class CacheStore:
-    """A store of cached parts that engines write to and fetch from.
+    """A store of cached prompt parts that engines write to and read from.
 
     Parameters
     ----------
@@ -120,7 +121,7 @@
     zone : str
         Its availability zone.
     link_bits_per_s : float
-        Width of its link; 0 if it is not told.
+        Bandwidth of its link; 0 if not configured.
     """
 
     address: str
@@ -130,24 +131,24 @@
 
 @attrs.frozen
 class Organisation:
-    """Whose requests; named by its keys.
+    """An organisation, identified by its API keys.
 
     Parameters
     ----------
     name : str
-        Upstreams are told it.
+        Also sent to upstreams.
     api_keys : frozenset of str
         Never logged.
     priority : int or None
-        Rank of all its requests; None leaves it to the route.
+        Rank of all its requests; None for that of the route.
     is_isolated : bool
-        Whether no cache is shared with others.
+        Whether it shares no cache with other organisations.
     rate_per_s, burst : float
-        Its usage cap over all routers, in `unit`; a rate of 0 is none.
+        Usage cap over all routers, in `unit`; a rate of 0 means no cap.
     unit : caps.Unit
-        What its cap counts.
+        What the cap counts.
     plain_tokens : int
-        What a request counts that tells no tokens.
+        Tokens counted for a request that states no token counts.
     """
 
     name: str
@@ -171,7 +172,7 @@
 
 @attrs.frozen
 class CallerLimits:
-    """Bounds of what a caller may send."""
+    """Limits on callers' requests and connections."""
 
     max_head_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -181,7 +182,7 @@
 
 @attrs.frozen
 class Configuration:
-    """Everything an operator has put in force, under one generation."""
+    """A complete configuration of one generation."""
 
     generation: int
     routes: tuple[Route, ...] = ()
@@ -193,14 +194,14 @@
 
 @attrs.frozen
 class Document:
-    """A configuration together with the bytes that it was read from.
+    """A configuration and its serialised source.
 
     Parameters
     ----------
     configuration : Configuration
-        Its meaning.
+        The parsed configuration.
     source : bytes
-        What it was read from, for other routers.
+        The bytes it was parsed from, which are sent to other routers.
     """
 
     configuration: Configuration
@@ -219,19 +220,19 @@
     Parameters
     ----------
     incarnation : str
-        Identity of one start of the process; a restarted one has another.
+        Identity of one start of the process; a restart gets another.
     service, address, zone : str
-        Which service, ``IP:port``, and availability zone.
+        Service, ``IP:port`` and availability zone.
     slots : int
-        Requests that it runs at once.
+        Requests that it runs concurrently.
     is_leaving : bool
         Whether it has announced that it will stop.
     weights : mapping of str to int
         Version of each model's weights.
     name : str
-        What the process is called, also after a restart.
+        Name of the process, which a restart keeps.
     born_ms : int
-        Unix time of this start; 0 if it is not told.
+        Unix time of this start; 0 if unknown.
     """
 
     incarnation: str
@@ -245,7 +246,7 @@
         default=attrs.Factory(lambda self: self.incarnation, takes_self=True)
     )
     born_ms: int = 0
-    #: The weights in a form that can be looked up; compared often.
+    #: Hashable form of `weights` for frequent lookups.
     weights_key: frozenset[tuple[str, int]] = attrs.field(
         init=False,
         eq=False,
@@ -256,10 +257,12 @@
     )
 
     def is_same_start(self, born_ms: int) -> bool:
-        """Whether words that name their start come from this one.
+        """Whether a report with this start time is from this incarnation.
 
-        Those of an earlier one arrive late, those of a later one before
-        its entry: its counts begin anew and would be believed of this one.
+        A report of an earlier start may arrive late, and one of a later
+        start before its registry entry.  Its counters start from zero and
+        must not be attributed to this incarnation.  An unknown start time
+        (0) matches any.
 
         Examples
         --------
@@ -272,7 +275,7 @@
 
 @attrs.frozen
 class Part:
-    """A stretch of a prompt that several requests may share."""
+    """A section of a prompt that several requests may share."""
 
     identity: str
     tokens: int
@@ -280,18 +283,18 @@
 
 @attrs.frozen
 class Prompt:
-    """What a request asks a model.
+    """Description of a prompt for a model.
 
     Parameters
     ----------
     model : str
         The model's name.
     parts : tuple of Part
-        In order; the last is the request's or its session's own.
+        In order; the last is specific to the request or its session.
     prompt_tokens, max_output_tokens : int
-        Sizes.
+        Sizes in tokens.
     has_token_counts : bool
-        Whether the caller told the sizes.
+        Whether the caller stated the sizes.
     """
 
     model: str
@@ -302,20 +305,20 @@
 
     @property
     def total_tokens(self) -> int | None:
-        """Tokens in and out; None if the caller did not tell them."""
+        """Prompt and output tokens; None if the caller did not state them."""
         if not self.has_token_counts:
             return None
         return self.prompt_tokens + self.max_output_tokens
 
     @property
     def shared_parts(self) -> tuple[Part, ...]:
-        """The parts that other requests may have as well."""
+        """The parts that other requests may have in common."""
         return self.parts[:-1]
 
 
 @attrs.frozen
 class Load:
-    """Load that an upstream tells with an answer."""
+    """Load that an upstream reports with an answer."""
 
     running: int
     waiting: int
@@ -324,20 +327,20 @@
 
 @attrs.frozen
 class Call:
-    """A caller's request, read from the wire.
+    """A caller's request, parsed from its head.
 
     Parameters
     ----------
     request_id, host, path : str
-        Identity of this try of the caller, and what selects the route.
+        Identity of this request of the caller, and what selects the route.
     api_key : str or None
-        Proof of the organisation.
+        Authenticates the organisation.
     wait_s : float or None
-        How long the caller will wait, from now on.
+        How long the caller will wait from now on.
     prompt : Prompt or None
-        For engines.
+        Prompt description, for engines.
     resume_after : str or None
-        Event after which the caller goes on with a stream.
+        ID of the event after which the caller resumes a stream.
     """
 
     request_id: str
--- a/toucanrudder/forwarding/registry.py
+++ b/toucanrudder/forwarding/registry.py
@@ -1,4 +1,4 @@
-"""Which upstreams there are, from what the registry told.  No I/O."""
+"""Table of the upstreams that the registry lists.  No I/O."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -10,17 +10,17 @@
 from toucanrudder.forwarding import model
 from toucanrudder.store import continuity
 
-#: Seconds after the registry's return within which an upstream that lives
-#: is listed again.  Upstreams register anew within about two seconds.
+#: Seconds after an outage of the registry within which a live upstream is
+#: listed again.  Upstreams register again within about two seconds.
 RELIST_GRACE_S = 2.4
 
 
 class Absence(enum.Enum):
-    """What the registry's silence on an upstream is taken for."""
+    """Meaning of an upstream's absence from the registry."""
 
-    #: Its entry is missing after an outage; it is still believed to live.
+    #: Its entry is missing after an outage; the upstream stays in use.
     MISSING = "missing"
-    #: It is not used any more.
+    #: The upstream is not used any more.
     GONE = "went"
 
 
@@ -30,33 +30,34 @@
     missing_since_s: float | None = None
 
 
-#: Names whose newest start is remembered after they are gone: a late word
-#: of an earlier start must not bring it back.
+#: Names whose newest start time is kept after removal, so that a late
+#: message about an earlier start does not restore it.
 MAX_START_TIMES = 8192
 
 
 class Registry:
-    """Upstreams by incarnation, one for each name.
-
-    A process that starts again keeps its name and knows nothing of before.
-    Failure: what was believed of the earlier start is believed of the new
-    one.  Symptom: requests go where nothing is cached, new weights pass
-    for old ones, or an upstream that is back counts as leaving.  So a
-    later start replaces an earlier one with all that was said of it, and
-    an earlier one never comes back, whoever tells of it.
-
-    While the registry is away, entries run out although their upstreams
-    live.  So an entry that is missing after an outage is believed for a
-    while longer; one that goes while the registry is well is gone.
-
-    Failure: a router that was cut off takes its own outage for the
-    registry's.  Symptom: it goes on sending to upstreams that have left.
-    So the while counts from when the registry served any router again, and
-    there is none if it served some router all along.
+    """Upstreams by incarnation, at most one for each name.
+
+    A process that restarts keeps its name but loses its state.  If the
+    state of the earlier start were attributed to the new one, requests
+    would go where nothing is cached, new weights would be taken for old
+    ones, or a restarted upstream would count as leaving.  So a later start
+    replaces an earlier one with all its state, and a message about an
+    earlier start never restores it.
+
+    During an outage of the registry, entries expire although their
+    upstreams are live.  So an upstream whose entry is missing after an
+    outage stays in use for a grace period; one whose entry is removed
+    while the registry is available is dropped at once.
+
+    A router that was itself cut off could mistake that for an outage of
+    the registry and keep sending to upstreams that have left.  So the
+    grace period starts when the registry answered any router again, and
+    there is none if it answered some router throughout.
     """
 
     def __init__(self):
-        self._known: dict[str, _Entry] = {}
+        self._entries: dict[str, _Entry] = {}
         self._by_name: dict[str, str] = {}
         self._newest_start_ms: cachetools.LRUCache = cachetools.LRUCache(
             MAX_START_TIMES
@@ -68,57 +69,58 @@
         self.has_listing = False
 
     def mark_recovered(self, now_s: float) -> None:
-        """Note that the registry answers this router again."""
+        """Record that the registry answers this router again."""
         self._recovered_s = now_s
 
     def add_served_span(self, span: continuity.Span) -> None:
-        """Note a time in which the registry served some router."""
+        """Record a time span in which the registry answered some router."""
         self.served = span.merged(self.served)
 
     @property
     def _grace_until_s(self) -> float:
-        """Time until which missing entries are believed."""
+        """End of the grace period for missing entries."""
         since_s, span = self._recovered_s, self.served
         if span and span.until_s >= since_s - continuity.LONGEST_GAP_S:
             since_s = min(since_s, span.since_s)
         return since_s + RELIST_GRACE_S
 
     def mark_synced(self, now_s: float, due_s: float) -> None:
-        """Note that what is known is what the registry has.
+        """Record that the table matches the registry.
 
         Parameters
         ----------
         now_s : float
             Monotonic time.
         due_s : float
-            Time by which the registry is to be heard of again.
+            Time by which the next answer of the registry is due.
         """
         self._synced_s, self._due_s = now_s, due_s
 
     def age_s(self, now_s: float) -> float:
-        """Return for how long the registry may have told of no change."""
+        """Return the time since the table last matched the registry."""
         return now_s - self._synced_s
 
     def overdue_s(self, now_s: float) -> float:
-        """Return the time by which the registry's next word is late."""
+        """Return by how much the registry's next answer is overdue."""
         return max(0.0, now_s - self._due_s)
 
     def replace(
         self, upstreams: Iterable[model.Upstream], now_s: float
     ) -> list[tuple[model.Upstream, Absence]]:
-        """Take in a whole list; return those that it lacks for the first time.
+        """Apply a complete listing; return newly absent upstreams.
 
-        An upstream that has started again under its name is not among them.
+        An upstream that was restarted under its name is not among them.
         """
-        listed = {each.name: each for each in upstreams}
+        listed = {upstream.name: upstream for upstream in upstreams}
         unlisted = [
-            self._known[self._by_name[name]].upstream
+            self._entries[self._by_name[name]].upstream
             for name in sorted(set(self._by_name) - set(listed))
         ]
         absent = [
-            (each, absence)
-            for each in unlisted
-            if (absence := self.remove(each.incarnation, now_s)) is not None
+            (upstream, absence)
+            for upstream in unlisted
+            if (absence := self.remove(upstream.incarnation, now_s))
+            is not None
         ]
         for upstream in listed.values():
             self.put(upstream)
@@ -127,26 +129,26 @@
         return absent
 
     def put(self, upstream: model.Upstream) -> None:
-        """Take in a new or changed entry.
+        """Apply a new or changed entry.
 
-        What an upstream itself has said meanwhile is newer than its entry:
-        a process's weights only rise, and one that leaves does not stay.
+        What an upstream itself reported since is newer than its entry: the
+        weights of a process only rise, and leaving is final.
         """
         if self.is_superseded(upstream):
             return
-        known = self._known.get(upstream.incarnation)
-        if known is not None:
-            upstream = _merged(known.upstream, upstream)
+        entry = self._entries.get(upstream.incarnation)
+        if entry is not None:
+            upstream = _merged(entry.upstream, upstream)
         earlier = self._by_name.get(upstream.name)
         if earlier is not None and earlier != upstream.incarnation:
             self._drop(earlier)
-        self._known[upstream.incarnation] = _Entry(upstream)
+        self._entries[upstream.incarnation] = _Entry(upstream)
         self._by_name[upstream.name] = upstream.incarnation
         self._newest_start_ms[upstream.name] = upstream.born_ms
         self._by_service = None
 
     def is_superseded(self, upstream: model.Upstream) -> bool:
-        """Whether a later start under the same name has been seen.
+        """Whether a later start under the same name is known.
 
         Examples
         --------
@@ -160,25 +162,25 @@
         return upstream.born_ms < self._newest_start_ms.get(upstream.name, 0)
 
     def _drop(self, incarnation: str) -> None:
-        found = self._known.pop(incarnation)
-        del self._by_name[found.upstream.name]
+        entry = self._entries.pop(incarnation)
+        del self._by_name[entry.upstream.name]
         self._by_service = None
 
     def remove(self, incarnation: str, now_s: float) -> Absence | None:
-        """Take in that an entry is gone; None if that is no news."""
-        known = self._known.get(incarnation)
-        if known is None:
+        """Apply the removal of an entry; return None if nothing changed."""
+        entry = self._entries.get(incarnation)
+        if entry is None:
             return None
-        if now_s < self._grace_until_s and not known.upstream.is_leaving:
-            if known.missing_since_s is not None:
+        if now_s < self._grace_until_s and not entry.upstream.is_leaving:
+            if entry.missing_since_s is not None:
                 return None
-            known.missing_since_s = now_s
+            entry.missing_since_s = now_s
             return Absence.MISSING
         self._drop(incarnation)
         return Absence.GONE
 
     def expire_missing(self, now_s: float) -> list[model.Upstream]:
-        """Drop the entries that have stayed missing; return them."""
+        """Drop and return upstreams still missing after the grace period."""
         if now_s < self._grace_until_s:
             return []
         dropped = self._missing()
@@ -188,62 +190,62 @@
 
     def _missing(self) -> list[model.Upstream]:
         return [
-            known.upstream
-            for known in self._known.values()
-            if known.missing_since_s is not None
+            entry.upstream
+            for entry in self._entries.values()
+            if entry.missing_since_s is not None
         ]
 
     def counts(self) -> dict[str, int]:
-        """Return how many upstreams are used, and missing of them."""
+        """Return the numbers of upstreams in use and of missing ones."""
         return {
-            "known": len(self._known),
+            "known": len(self._entries),
             Absence.MISSING.value: len(self._missing()),
         }
 
     def mark_leaving(self, incarnation: str) -> bool:
-        """Note that an upstream said itself, or to a peer, that it leaves.
+        """Record that an upstream has announced to stop.
 
         Returns
         -------
         bool
-            Whether that is news.
+            Whether that was not known yet.
         """
-        known = self._known.get(incarnation)
-        if known is None or known.upstream.is_leaving:
+        entry = self._entries.get(incarnation)
+        if entry is None or entry.upstream.is_leaving:
             return False
-        known.upstream = attrs.evolve(known.upstream, is_leaving=True)
+        entry.upstream = attrs.evolve(entry.upstream, is_leaving=True)
         self._by_service = None
         return True
 
     def update_weights(
         self, incarnation: str, name: str, version: int
     ) -> None:
-        """Note the weights with which an upstream answered."""
-        known = self._known.get(incarnation)
-        if known is None or known.upstream.weights.get(name, 0) >= version:
+        """Record the weights version that an upstream reported."""
+        entry = self._entries.get(incarnation)
+        if entry is None or entry.upstream.weights.get(name, 0) >= version:
             return
-        weights = {**known.upstream.weights, name: version}
-        known.upstream = attrs.evolve(known.upstream, weights=weights)
+        weights = {**entry.upstream.weights, name: version}
+        entry.upstream = attrs.evolve(entry.upstream, weights=weights)
         self._by_service = None
 
     def get(self, incarnation: str) -> model.Upstream | None:
-        """Return one upstream."""
-        known = self._known.get(incarnation)
-        return known.upstream if known else None
+        """Return an upstream by its incarnation."""
+        entry = self._entries.get(incarnation)
+        return entry.upstream if entry else None
 
     def by_name(self, name: str) -> model.Upstream | None:
-        """Return the newest start of the upstream of that name."""
+        """Return the newest incarnation of the upstream of that name."""
         return self.get(self._by_name.get(name, ""))
 
     @property
     def incarnations(self) -> set[str]:
-        """All that are known."""
-        return set(self._known)
+        """Incarnations of all known upstreams."""
+        return set(self._entries)
 
     def for_service(self, service: str) -> tuple[model.Upstream, ...]:
-        """Return the upstreams of a service, also leaving ones."""
+        """Return the upstreams of a service, including leaving ones."""
         if self._by_service is None:
-            self._by_service = _grouped(self._known)
+            self._by_service = _grouped(self._entries)
         return self._by_service.get(service, ())
 
 
@@ -260,9 +262,11 @@
 
 
 def _grouped(
-    known: Mapping[str, _Entry],
+    entries: Mapping[str, _Entry],
 ) -> dict[str, tuple[model.Upstream, ...]]:
     grouped: dict[str, list[model.Upstream]] = {}
-    for each in known.values():
-        grouped.setdefault(each.upstream.service, []).append(each.upstream)
-    return {service: tuple(found) for service, found in grouped.items()}
+    for entry in entries.values():
+        grouped.setdefault(entry.upstream.service, []).append(entry.upstream)
+    return {
+        service: tuple(upstreams) for service, upstreams in grouped.items()
+    }
--- a/toucanrudder/forwarding/retry_policy.py
+++ b/toucanrudder/forwarding/retry_policy.py
@@ -1,4 +1,4 @@
-"""What follows from the end of one try of a request.  No I/O."""
+"""Retry decisions after a failed attempt at a request.  No I/O."""
 
 import enum
 
@@ -9,33 +9,33 @@
 
 STEP = "forward"
 
-#: Least time that must be left for another try to be worth starting: a
-#: connection and the shortest answers take about as long.
+#: Least remaining time for another attempt: opening a connection and
+#: getting the shortest answer take about as long.
 MIN_ATTEMPT_TIME_S = 0.03
 
 
 class FailureKind(enum.Enum):
-    """How a try ended without a whole answer."""
+    """How an attempt ended without a complete answer."""
 
-    #: No connection: nothing was sent.
+    #: No connection; nothing was sent.
     NOT_REACHED = "not_reached"
-    #: The upstream says that it has not run the request.
+    #: The upstream states that it has not run the request.
     FULL = "full"
-    #: Another process has the address now.
+    #: Another process serves the address now.
     NOT_THERE = "not_there"
-    #: The upstream has other weights than was believed.
+    #: The upstream has other weights than the router expected.
     OTHER_WEIGHTS = "other_weights"
-    #: The answer broke off, or none came on an open connection.
+    #: The connection broke before or within the answer.
     BROKEN = "broken"
-    #: The answer is not for this request, or is no answer.
+    #: The answer belongs to another request, or is not valid.
     CROSSED = "crossed"
-    #: Nothing came for too long.
+    #: Nothing was received within the time limit.
     SILENT = "silent"
-    #: The upstream answered with a failure of its own.
+    #: The upstream answered with a server error.
     FAILED = "failed"
 
 
-#: Ends after which the request certainly has not run in this try.
+#: Failures that prove that the attempt did not run the request.
 PROVES_NOT_RUN = frozenset(
     {
         FailureKind.NOT_REACHED,
@@ -57,30 +57,30 @@
 }
 
 
-#: Seconds of a stream within which its engine sends the first copy of the
-#: run.
+#: Seconds after the first event within which an engine has sent the first
+#: copy of its run to the backup.
 COPY_TRANSFER_S = 0.25
 
 
 @attrs.frozen
 class Progress:
-    """What has become of a request so far.
+    """Progress of a request over all its attempts.
 
     Parameters
     ----------
     possible_runs : int
-        Tries in which it can have run.
+        Attempts that may have run the request.
     attempts : int
-        All tries.
+        All attempts.
     events : int
-        Events of a stream that the caller has got.
+        Stream events that were delivered to the caller.
     can_resume : bool
-        Whether the last of them names a point to go on from.
+        Whether the last of them has an ID to resume from.
     streamed_s : float
-        Time since the caller got the first of them.
+        Time since the first of them was delivered.
     is_copy_requested : bool
-        Whether another engine was to hold a copy of the run's memory, and
-        is still there.
+        Whether another engine was asked to hold a copy of the run's KV
+        cache, and is still available.
     """
 
     possible_runs: int = 0
@@ -92,11 +92,11 @@
 
     @property
     def can_continue_from_copy(self) -> bool:
-        """Whether another engine can go on with the run.
+        """Whether another engine can continue the run from its copy.
 
-        An engine that is asked to go on with a run of which it holds no
-        copy may run it anew, so the copy must have had time to be sent,
-        and there must be an event to go on from.
+        An engine that is asked to continue a run without holding its copy
+        may run it again, so the copy must have had time to arrive, and
+        there must be an event to resume from.
         """
         return (
             self.is_copy_requested
@@ -107,45 +107,45 @@
 
 
 class AnswerIdentity(enum.Enum):
-    """Which request an upstream's answer named."""
+    """Which request ID an upstream's answer carried."""
 
-    #: No head of an answer came.
+    #: No answer head was received.
     NO_ANSWER = "no_answer"
-    #: The request that was sent.
+    #: That of the request that was sent.
     SENT = "sent"
-    #: None.
+    #: No request ID.
     MISSING = "missing"
-    #: Another request.
+    #: That of another request.
     OTHER = "other"
 
 
 class SilenceFinding(enum.Enum):
-    """What was last learned of a silent answer."""
+    """Result of the last check of an answer that made no progress."""
 
-    #: It was not silent, or not lost.
+    #: The answer made progress, or is not lost.
     NONE = ""
-    #: The request may run again, so the engine was not asked.
+    #: The request may be repeated, so the engine was not asked.
     NOT_ASKED = "not_asked"
-    #: The engine gave no report, which proves nothing.
+    #: The engine sent no report; the run may still be in progress.
     NO_REPORT = "no_report"
     #: The report does not list the request.
     NOT_LISTED = "not_listed"
-    #: The report lists events that never came.
+    #: The report counts events that were never received.
     EVENTS_MISSING = "events_missing"
 
 
 @attrs.define
 class Evidence:
-    """What is known of a try beside how it ended.
+    """Details of an attempt for the log, besides its failure kind.
 
     Parameters
     ----------
     carried_requests : int
         Requests that its connection had carried before.
     identity : AnswerIdentity
-        Which request the answer named.
+        Which request ID the answer carried.
     silence : SilenceFinding
-        What was last learned of its silence.
+        Result of the last check of a stalled answer.
     """
 
     carried_requests: int = 0
@@ -154,40 +154,40 @@
 
 
 class Step(enum.Enum):
-    """What is done next."""
+    """What to do after a failed attempt."""
 
     RETRY = "retry"
-    #: Another engine has a copy of the run's memory and goes on with it.
+    #: Another engine holds a copy of the run's KV cache and continues it.
     CONTINUE = "continue"
     GIVE_UP = "give_up"
 
 
-#: Tries of one request, also such that prove nothing ran: a caller gets
-#: his final_error early enough to come back.
+#: Attempts of one request, including those that certainly did not run it,
+#: so that callers get a refusal early enough to retry.
 MAX_ATTEMPTS = 4
 
 
 def next_step(
-    ended: FailureKind,
+    failure: FailureKind,
     progress: Progress,
     route: model.Route,
     *,
     remaining_s: float,
 ) -> Step:
-    """Say whether a request may and should be sent again.
+    """Decide whether a request may and should be sent again.
 
-    The budget is asked by the caller of this function, last of all.
+    The caller of this function applies the retry budget afterwards.
 
     Parameters
     ----------
-    ended : FailureKind
-        How the newest try ended; `progress` counts it already.
+    failure : FailureKind
+        How the last attempt failed; `progress` includes it already.
     progress : Progress
-        All tries so far.
+        All attempts so far.
     route : model.Route
-        What may be repeated, and how often.
+        Whether and how often a request may be repeated.
     remaining_s : float
-        Time left until the caller's deadline.
+        Time until the caller's deadline.
 
     Examples
     --------
@@ -200,17 +200,17 @@
     """
     if progress.attempts >= MAX_ATTEMPTS or remaining_s < MIN_ATTEMPT_TIME_S:
         return Step.GIVE_UP
-    broke = ended in (FailureKind.BROKEN, FailureKind.SILENT)
-    if broke and progress.can_continue_from_copy:
-        # It stays one run, so this holds for requests that may run once.
+    is_broken = failure in (FailureKind.BROKEN, FailureKind.SILENT)
+    if is_broken and progress.can_continue_from_copy:
+        # This is still the same run, so at-most-once requests qualify too.
         return Step.CONTINUE
     if progress.possible_runs >= route.max_upstreams:
         return Step.GIVE_UP
     if progress.possible_runs and route.repetition is model.Repetition.ONCE:
         return Step.GIVE_UP
     if progress.events:
-        # The caller holds a part of the answer; only a stream that can be
-        # taken up again behind it may go on.
+        # The caller has part of the answer, so only a stream that can
+        # resume after that part may be sent again.
         resumable = route.repetition is model.Repetition.RESUMABLE
         if not resumable or not progress.can_resume:
             return Step.GIVE_UP
@@ -218,27 +218,28 @@
 
 
 def final_error(
-    ended: FailureKind, progress: Progress, peer: str, retry_after_s: float
+    failure: FailureKind, progress: Progress, peer: str, retry_after_s: float
 ) -> errors.RudderError:
-    """Return the error for a request that has been given up.
+    """Return the error for a request that is not retried any more.
 
-    Only one that certainly has not run is told to come back; a status
-    that promises "not run" after a try that may have run would make the
-    caller book twice.
+    Only a request that certainly has not run gets a status that invites a
+    retry: after a possible run, the caller would execute it twice.
     """
     if progress.possible_runs:
-        code = _CODES[ended]
-        if ended in PROVES_NOT_RUN:
+        code = _CODES[failure]
+        if failure in PROVES_NOT_RUN:
             code = errors.Code.UPSTREAM_FAILED
         return errors.RudderError(
             code,
-            "the request may have run; its answer was lost",
+            "the request may have run, but its answer was lost",
             step=STEP,
             peer=peer,
             ran=errors.Ran.UNKNOWN,
         )
     return errors.RudderError(
-        _CODES[ended] if ended in PROVES_NOT_RUN else errors.Code.QUEUE_FULL,
+        _CODES[failure]
+        if failure in PROVES_NOT_RUN
+        else errors.Code.QUEUE_FULL,
         "no upstream could take the request",
         step=STEP,
         peer=peer,
--- a/toucanrudder/forwarding/state.py
+++ b/toucanrudder/forwarding/state.py
@@ -1,4 +1,4 @@
-"""What the parts of the forwarding path share."""
+"""Shared state of one forwarding router."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -26,22 +26,22 @@
 
 STEP = "state"
 
-#: When a router that has no configuration yet is worth asking again: the
-#: first one arrives well within a second of a start.
+#: ``Retry-After`` of a router that has no configuration yet: it gets one
+#: well within a second of its start.
 NOT_CONFIGURED_RETRY_S = 0.3
 
-#: Age up to which a peer's word on its work is used: a few rounds of
-#: heartbeats; most requests have ended by then.
+#: Age up to which a peer's load report is used: a few heartbeat rounds;
+#: most requests have ended by then.
 PEER_LOADS_KEPT_S = 1.5
 
 
 async def _no_report(upstream: model.Upstream) -> None:
-    """Ask no engine: none is known."""
+    """Return no report; used until the rollout controller is set."""
 
 
 @attrs.define(eq=False)
 class ForwardingState:
-    """Tables of one router; each has one owner that writes it.
+    """State of one router; each table has a single writer.
 
     Parameters
     ----------
@@ -52,9 +52,9 @@
     budget_bounds : retry_window.RetryBounds
         Bounds of retries over all routers.
     live_routers : callable
-        Number of live routers, this one included.
+        Returns the number of live routers, including this one.
     pace : rollout.Pace
-        How fast engines must follow new weights.
+        How soon engines must have new weights.
     """
 
     name: str
@@ -93,19 +93,19 @@
 
     @property
     def configuration(self) -> model.Configuration | None:
-        """What is in force, or None."""
+        """The active configuration; None before the first."""
         return self._table.configuration if self._table else None
 
     @property
     def generation(self) -> int:
-        """Generation in force; 0 for none."""
+        """Generation of the active configuration; 0 for none."""
         return self._table.configuration.generation if self._table else 0
 
     def offer(self, candidate: model.Configuration) -> bool:
-        """Put a configuration in force if it is newer.
+        """Activate a configuration if it is newer; return whether it was.
 
-        A router that went back would bring back dropped routes and keys,
-        so an older one is never taken, whoever offers it.
+        An older one is never activated, whatever its source, as that would
+        restore dropped routes and revoked keys.
         """
         if candidate.generation <= self.generation:
             return False
@@ -113,7 +113,7 @@
         return True
 
     def table(self) -> routing.RoutingTable:
-        """Return the routes in force.
+        """Return the active routing table.
 
         Raises
         ------
@@ -123,7 +123,7 @@
         if self._table is None:
             raise errors.RudderError(
                 errors.Code.NOT_CONFIGURED,
-                "no configuration has been obtained yet",
+                "this router has not received a configuration yet",
                 step=STEP,
                 peer="store",
                 retry_after_s=NOT_CONFIGURED_RETRY_S,
@@ -131,12 +131,12 @@
         return self._table
 
     def organisation(self, name: str) -> model.Organisation | None:
-        """Return what is configured of an organisation, by its name."""
+        """Return a configured organisation by its name, or None."""
         return self._table.organisation(name) if self._table else None
 
     @property
     def is_ready(self) -> bool:
-        """Whether new connections are welcome."""
+        """Whether the router accepts new connections."""
         return (
             not self.stopping
             and self._table is not None
@@ -144,28 +144,28 @@
         )
 
     def retries_for(self, service: str) -> retry_window.RetryWindow:
-        """Return this router's share of the retries to a service."""
-        found = self._retries.get(service)
-        if found is None:
-            found = retry_window.RetryWindow(self.budget_bounds)
-            self._retries[service] = found
-        return found
+        """Return this router's retry budget for a service."""
+        window = self._retries.get(service)
+        if window is None:
+            window = retry_window.RetryWindow(self.budget_bounds)
+            self._retries[service] = window
+        return window
 
     def record_weights_version(
         self, name: str, version: int, now_s: float
     ) -> bool:
-        """Note the newest weights of a model; say whether they are news."""
-        named = self.newest_weights.setdefault(name, WeightsHistory(name))
-        if version <= named.version:
+        """Record a model's newest version; return whether it is new."""
+        history = self.newest_weights.setdefault(name, WeightsHistory(name))
+        if version <= history.version:
             return False
-        named.record(version, now_s)
+        history.record(version, now_s)
         decisions.record(decisions.WeightsNamed(model=name, version=version))
         return True
 
     def weights_age_s(self, upstream: model.Upstream, name: str) -> float:
-        """Return for how long an engine's weights have been superseded."""
-        named = self.newest_weights[name]
-        return named.age_s(upstream.weights.get(name, 0), clock.now_s())
+        """Return how long an engine's weights have been superseded."""
+        history = self.newest_weights[name]
+        return history.age_s(upstream.weights.get(name, 0), clock.now_s())
 
     def engines(self) -> list[model.Upstream]:
         """Return the upstreams of all services that are engines."""
@@ -180,24 +180,24 @@
         ]
 
     def cache_stores(self) -> tuple[model.CacheStore, ...]:
-        """Return the configured stores of cached parts."""
+        """Return the configured stores of cached prompt parts."""
         configuration = self.configuration
         return configuration.cache_stores if configuration else ()
 
     def store_for(
-        self, prompt: model.Prompt, wall: str, now_s: float
+        self, prompt: model.Prompt, scope: str, now_s: float
     ) -> model.CacheStore | None:
-        """Return the store that keeps a prompt's shared parts, if any."""
+        """Return the usable store of a prompt's shared parts, if any."""
         usable = self.store_health.usable(self.cache_stores(), now_s)
-        return stores.store_for(prompt, wall, usable)
+        return stores.store_for(prompt, scope, usable)
 
     def speeds_for(
         self, service: str, store: model.CacheStore | None
     ) -> speeds.EngineSpeeds:
-        """Return what a service's engines do in a second."""
-        found = self.configuration.services.get(service)
+        """Return the prefill and copy speeds of a service's engines."""
+        configured = self.configuration.services.get(service)
         return speeds.engine_speeds(
-            found.engine if found else None,
+            configured.engine if configured else None,
             store,
             self.prefill_speeds.tokens_per_s(service),
         )
@@ -205,19 +205,19 @@
     def candidates(
         self, service: str, prompt: model.Prompt | None, now_s: float
     ) -> list[placing.Candidate]:
-        """Return the service's upstreams with what is known of them."""
+        """Return the service's upstreams with their load and weights age."""
         newest = None
         if prompt is not None:
             newest = self.newest_weights.get(prompt.model)
         upstreams = self.registry.for_service(service)
         ages_s = _weights_ages_s(upstreams, newest)
-        others = self.peer_loads.sums(now_s)
-        found = []
+        peer_work = self.peer_loads.sums(now_s)
+        candidates = []
         for upstream in upstreams:
             name = upstream.incarnation
-            work = others.get(name, peers_loads.NOTHING)
+            work = peer_work.get(name, peers_loads.NOTHING)
             version = upstream.weights.get(newest.model) if newest else None
-            found.append(
+            candidates.append(
                 placing.Candidate(
                     upstream,
                     self.upstream_stats.of(name),
@@ -226,13 +226,13 @@
                     work.requests,
                 )
             )
-        return found
+        return candidates
 
 
 def _weights_ages_s(
     upstreams: Iterable[model.Upstream], newest: "WeightsHistory | None"
 ) -> dict[int, float]:
-    """Return for how long each version in use has been superseded."""
+    """Return how long each version in use has been superseded."""
     if newest is None:
         return {}
     now_s = clock.now_s()
@@ -243,28 +243,28 @@
     return {version: newest.age_s(version, now_s) for version in versions}
 
 
-#: Versions of one model that are remembered; older ones are all too old.
+#: Versions of one model that are kept; any older one is too old anyway.
 MAX_VERSIONS = 32
 
 
 @attrs.define
 class WeightsHistory:
-    """The weights that a model is to have.
+    """Newest weights version of a model and when each version was published.
 
     Parameters
     ----------
     model : str
         The model's name.
     version : int
-        Rises with each.
+        Newest version; versions only rise.
     named_at_s : dict of int to float
-        When this router learned of each version, by the monotonic time.
+        Monotonic time at which this router learned of each version.
 
     Examples
     --------
-    >>> named = WeightsHistory("m")
-    >>> named.record(2, 10.0); named.record(3, 14.0)
-    >>> named.age_s(1, 15.0), named.age_s(2, 15.0), named.age_s(3, 15.0)
+    >>> history = WeightsHistory("m")
+    >>> history.record(2, 10.0); history.record(3, 14.0)
+    >>> history.age_s(1, 15.0), history.age_s(2, 15.0), history.age_s(3, 15.0)
     (5.0, 1.0, 0.0)
     """
 
@@ -273,7 +273,7 @@
     named_at_s: dict[int, float] = attrs.field(factory=dict)
 
     def record(self, version: int, now_s: float) -> None:
-        """Note that a version was named."""
+        """Record a published version."""
         if version <= self.version:
             return
         self.version = version
@@ -282,8 +282,8 @@
             del self.named_at_s[min(self.named_at_s)]
 
     def age_s(self, version: int, now_s: float) -> float:
-        """Return for how long a version has been superseded."""
-        since_s = [
-            at_s for named, at_s in self.named_at_s.items() if named > version
+        """Return how long a version has been superseded; 0 if it is not."""
+        later_at_s = [
+            at_s for later, at_s in self.named_at_s.items() if later > version
         ]
-        return now_s - min(since_s) if since_s else 0.0
+        return now_s - min(later_at_s) if later_at_s else 0.0
