--- a/toucanrudder/leases/holder.py
+++ b/toucanrudder/leases/holder.py
@@ -160,7 +160,10 @@
         )
 
     def is_held_by_other(self, now_s: float) -> bool:
-        """Return whether another may hold the lease; needs no read then."""
+        """Return whether another may hold the lease, as last observed.
+
+        Reading the lease from the store is then unnecessary.
+        """
         return self._next_step(now_s) is decision.Step.WAIT
 
     async def run(self) -> None:
