--- a/toucanrudder/forwarding/peering.py
+++ b/toucanrudder/forwarding/peering.py
@@ -1,4 +1,4 @@
-"""What forwarding routers tell each other."""
+"""Information about upstreams that routers exchange by gossip."""
 
 import random
 import time
@@ -14,19 +14,19 @@
 from toucanrudder.peers import peering as peerings
 from toucanrudder.store import continuity
 
-#: Seconds for which the word that an upstream leaves is passed on: by
-#: then each router has read it in the registry itself.
+#: Seconds for which a leaving upstream is announced: by then each router
+#: has read it from the registry itself.
 LEAVING_GOSSIP_S = 10.0
 
 
 @attrs.define(eq=False)
 class Gossip:
-    """Beliefs on upstreams that are shared with peers.
+    """Information about upstreams that is shared with peers.
 
     Parameters
     ----------
     state : states.ForwardingState
-        Where they are kept.
+        This router's state, which it reads and updates.
     """
 
     state: states.ForwardingState
@@ -35,14 +35,14 @@
     _avoided_by_peer: dict[str, set[str]] = attrs.field(factory=dict)
 
     def record_leaving(self, incarnation: str, now_s: float) -> bool:
-        """Note that an upstream has said that it leaves."""
+        """Record a leaving upstream; return whether that is new."""
         if not self.state.registry.mark_leaving(incarnation):
             return False
         self._leaving_since_s[incarnation] = now_s
         return True
 
     def leaving(self, now_s: float) -> tuple[str, ...]:
-        """Return what peers are told to be leaving."""
+        """Return the leaving upstreams to announce to peers."""
         self._leaving_since_s = {
             name: since_s
             for name, since_s in self._leaving_since_s.items()
@@ -51,15 +51,16 @@
         return tuple(self._leaving_since_s)
 
     def avoid(self, incarnation: str, for_s: float, now_s: float) -> None:
-        """Send no work to an upstream for a while; 0 takes it back."""
+        """Send no requests to an upstream for a while; 0 cancels it."""
         self._avoided_until_s[incarnation] = now_s + for_s
         self.state.upstream_stats.avoid(incarnation, now_s + for_s)
 
     def avoided(self, now_s: float) -> tuple[messages.Avoided, ...]:
-        """Return what peers are told to take no work.
+        """Return the upstreams and stores that peers should avoid.
 
-        Only what this router itself has said: told on by others, a word
-        that was taken back would come back for as long as they echo it.
+        Only those that this router itself avoids: if routers relayed each
+        other's entries, a cancelled one would reappear as long as any
+        router echoes it.
         """
         self._avoided_until_s = {
             name: until_s
@@ -73,14 +74,14 @@
         ) + tuple(messages.Avoided(*each) for each in stores.items())
 
     def merge(self, heartbeat: messages.Heartbeat, now_s: float) -> None:
-        """Take in a peer's beliefs."""
+        """Merge the upstream information of a peer's heartbeat."""
         for each in heartbeat.weights:
             self.state.record_weights_version(each.model, each.version, now_s)
         for name in heartbeat.leaving_upstreams:
             self.record_leaving(name, now_s)
         self._merge_store_outages(heartbeat, now_s)
         known = self.state.registry.incarnations
-        told = {
+        avoided = {
             each.upstream: each.for_s
             for each in heartbeat.avoided
             if each.upstream in known
@@ -90,14 +91,14 @@
                 _served_span(heartbeat.registry, now_s)
             )
         sender = heartbeat.sender.name
-        for name in self._avoided_by_peer.pop(sender, set()) - set(told):
+        for name in self._avoided_by_peer.pop(sender, set()) - set(avoided):
             self.state.upstream_stats.avoid(name, now_s)
-        for name, for_s in told.items():
+        for name, for_s in avoided.items():
             self.state.upstream_stats.record_peer_order(
                 name, now_s + for_s, now_s
             )
-        if told:
-            self._avoided_by_peer[sender] = set(told)
+        if avoided:
+            self._avoided_by_peer[sender] = set(avoided)
 
     def _merge_store_outages(
         self, heartbeat: messages.Heartbeat, now_s: float
@@ -110,14 +111,14 @@
                 )
 
     def weights(self) -> tuple[messages.Weights, ...]:
-        """Return the newest weights that this router knows of."""
+        """Return the newest weights versions known to this router."""
         return tuple(
             messages.Weights(each.model, each.version)
             for each in self.state.newest_weights.values()
         )
 
     def registry(self, now_s: float) -> messages.Served | None:
-        """Return when the registry served calls, as this router knows."""
+        """Return the known time span in which the registry answered."""
         span = self.state.registry.served
         if span is None:
             return None
@@ -126,16 +127,16 @@
         )
 
     def loads(self) -> tuple[messages.UpstreamLoad, ...]:
-        """Return this router's own work at upstreams."""
+        """Return this router's own requests at upstreams."""
         return tuple(
             messages.UpstreamLoad(name, tokens, requests)
             for name, tokens, requests in self.state.upstream_stats.in_use()
         )
 
 
-def _served_span(told: messages.Served, now_s: float) -> continuity.Span:
-    until_s = now_s - told.age_s
-    return continuity.Span(until_s - told.for_s, until_s)
+def _served_span(served: messages.Served, now_s: float) -> continuity.Span:
+    until_s = now_s - served.age_s
+    return continuity.Span(until_s - served.for_s, until_s)
 
 
 def build(
@@ -156,17 +157,17 @@
     Parameters
     ----------
     state : states.ForwardingState
-        This router's tables.
+        This router's state.
     gossip : Gossip
-        What is told and heard of upstreams.
+        Information about upstreams to exchange.
     current, offer : callable
-        Return and take a document.
+        Return the current document, and accept a newer one.
     encode, decode : callable
-        Between a document and its bytes.
+        Convert a document to and from bytes.
     seeds : list of str
-        ``IP:port`` of peers to begin with.
+        ``IP:port`` of the peers to contact first.
     interval_s, silent_s : float
-        Between two rounds; after which a peer counts as gone.
+        Heartbeat interval, and silence after which a peer counts as gone.
     rng : random.Random
         For jitter and choices.
     """
@@ -176,8 +177,8 @@
         quarantine=state.crash_counts.suspicions.entries,
         merge=state.crash_counts.merge,
         leaving=lambda: state.stopping,
-        # Peers count by a clock that stands still with the host; beliefs
-        # on upstreams age on.
+        # Peers are timed by a clock that stops while the host is suspended;
+        # information about upstreams keeps ageing.
         leaving_upstreams=lambda _: gossip.leaving(clock.now_s()),
         avoided=lambda _: gossip.avoided(clock.now_s()),
         registry=lambda _: gossip.registry(clock.now_s()),
--- a/toucanrudder/forwarding/store_watch.py
+++ b/toucanrudder/forwarding/store_watch.py
@@ -1,4 +1,4 @@
-"""Follows the store's objects that a forwarding router goes by."""
+"""Watches of the store's objects that a forwarding router depends on."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,42 +26,44 @@
 from toucanrudder.store import interface
 from toucanrudder.store import strange
 
-#: Routers that follow the weights in the store: as many as may die at
-#: once without a delay for the next to notice.
+#: Routers that watch the weights in the store: as many as may fail at once
+#: without delaying the next one in the order of takeover.
 WEIGHTS_WATCHERS = 6
 
-#: Longest wait of a watch on the configuration.  Peers tell of a newer
-#: generation within a second, and keep-alive probes end a silent
-#: connection; the wait only bounds what both have missed.
+#: Longest wait of a watch on the configuration.  Peers announce a newer
+#: generation within a second, and keep-alive probes close a dead
+#: connection; the wait only bounds the delay if both fail.
 MAX_WATCH_WAIT_S = 20.0
 
-#: Number of routers by which changes are gathered at the most, a quarter
-#: of a second: in a large fleet they are gathered twice on their way.
+#: Largest number of routers for which the batching delay of changes grows,
+#: which limits it to a quarter of a second: in a large fleet changes are
+#: batched twice on their way.
 MAX_BATCHING_ROUTERS = 40
 
-#: Longest wait, after a start, for the routers to be known before changes
-#: of the registry are asked for: half of the shortest time within which a
-#: leaving upstream must have been noticed.
+#: Longest wait after a start for the membership to settle before changes
+#: of the registry are requested: half of the shortest time within which a
+#: leaving upstream must be detected.
 UPSTREAMS_SETTLE_S = 1.0
 
-#: Routers whose watches of the usual wait cost the store little.
+#: Number of routers up to which watches of the usual wait load the store
+#: little.
 BASE_WAIT_ROUTERS = 16
 
 
 @attrs.frozen
 class WatchedKinds:
-    """Which objects are followed, and how they are read.
+    """Kinds of objects that are watched, and their decoders.
 
     Parameters
     ----------
     configuration, upstreams, weights : str
-        Kinds of objects, as the store names them.
+        Names of the kinds in the store.
     read_document : callable
         Returns the document in a stored object, or None if it holds none.
     read_upstream : callable
         Returns the upstream in a stored object.
     read_weights : callable
-        Returns model and version in a stored object.
+        Returns the model and its version in a stored object.
     """
 
     configuration: str
@@ -75,8 +77,8 @@
 def configuration_wait_s(usual_s: float, routers: int) -> float:
     """Return how long a watch on the configuration waits.
 
-    The more routers watch, the sooner one of them has a fresh answer that
-    it tells to the others; so each may ask more rarely.
+    The more routers watch, the sooner one of them has a fresh answer and
+    passes it on to the others, so each one may ask less often.
 
     Examples
     --------
@@ -88,24 +90,24 @@
 
 
 class StoreWatch:
-    """Keeps the router's tables up to date with the store.
+    """Keeps the router's state up to date with the store.
 
     Parameters
     ----------
     state : states.ForwardingState
-        This router's tables.
+        This router's state.
     store : feed.KindFeed
-        Where the objects are.
+        The store.
     kinds : WatchedKinds
-        Which objects, and how they are read.
+        Watched kinds and their decoders.
     gossip : peerings.Gossip
-        Told of upstreams that leave.
+        Announces leaving upstreams to peers.
     peering : peer_peerings.Peering
-        This router among its peers.
+        This router's exchange with its peers.
     offer : callable
-        Takes a document and where it came from.
+        Takes a document and the name of its source.
     timeout_s, wait_s : float
-        For a list, and for which a watch waits.
+        Timeout of a listing, and wait of a watch.
     rng : random.Random
         For jitter.
     """
@@ -143,33 +145,33 @@
         self._upstream_log = fanout.ChangeLog()
         peering.logs = {kinds.upstreams: self._upstream_log}
 
-    # Which router does what.
+    # Division of work among the routers.
 
     def _live(self) -> tuple[routers.Member, ...]:
         table = self._peering.node.table
         return table.live(asyncio.get_running_loop().time())
 
     def cap_members(self) -> tuple[capping.Member, ...]:
-        """Return the live routers as owners of usage caps."""
+        """Return the live routers, which own the usage caps."""
         self._refresh_membership()
         return self._cap_members
 
     def is_settled(self) -> bool:
-        """Whether all live routers are probably known."""
+        """Whether the membership has settled after the start."""
         return self._is_settled(self._settling)
 
     def live_router_names(self) -> tuple[str, ...]:
-        """Return the names of all live routers, this one included."""
+        """Return the names of all live routers, including this one."""
         self._refresh_membership()
         return self._names
 
     def takeover_rank(self) -> int:
-        """Return how many live routers go before this one."""
+        """Return how many live routers precede this one for takeover."""
         self._refresh_membership()
         return self._takeover_rank
 
     def _refresh_membership(self) -> None:
-        """Work out what depends on who lives, if a router came or went."""
+        """Recompute what depends on the live routers if they changed."""
         live = self._live()
         if live is self._ranked_members and self._names:
             return
@@ -184,7 +186,7 @@
         )
 
     def _record_duty(self, duty: str, held: bool) -> bool:
-        """Write down that a duty has come or gone; return `held`."""
+        """Log the start or end of a duty; return `held`."""
         if held is not (duty in self._duties):
             self._duties ^= {duty}
             decisions.record(
@@ -204,8 +206,8 @@
     def _upstreams_wait_s(self) -> float:
         """Return how long a watch on the registry waits.
 
-        A few routers ask often enough to show that the registry serves
-        calls.
+        A few readers use short waits, so that their answers show that the
+        registry is available.
         """
         names = fanout.select_readers(self.live_router_names())
         waits_s = dict(zip(names, continuity.WATCH_WAITS_S, strict=False))
@@ -214,12 +216,14 @@
     def _has_followers(self) -> bool:
         return fanout.uses_fanout(len(self.live_router_names()))
 
-    def _choose_reader(self, shunned: set[str]) -> fanout.Reader | None:
+    def _choose_reader(
+        self, avoided_readers: set[str]
+    ) -> fanout.Reader | None:
         live = {each.name: each.address for each in self._live()}
         readers = fanout.select_readers(self.live_router_names())
         key = self._state.name.encode()[:64]
         for name in rendezvous.ranked(key, readers):
-            if name in live and name not in shunned:
+            if name in live and name not in avoided_readers:
                 return fanout.Reader(name, live[name])
         return None
 
@@ -242,35 +246,35 @@
         return of.is_settled(len(self.live_router_names()), clock.now_s())
 
     def _watches_weights(self) -> bool:
-        """Whether this router follows the weights in the store itself.
+        """Whether this router watches the weights in the store itself.
 
-        Only those that may soon have to give orders do; to the others it
-        is a matter of preference, and they hear of it from peers within a
-        second.  Each reads them once after its start: of a fleet that
-        starts as a whole, nobody could tell another.
+        Only those that may soon have to send load orders do.  The others
+        need the versions only to rank engines, and get them from peers
+        within a second.  Each router reads them once after its start:
+        when a whole fleet starts, no peer knows them yet.
         """
         if not self._is_settled(self._settling):
             return not self._has_read_weights
-        is_follower = self.takeover_rank() < WEIGHTS_WATCHERS
-        return self._record_duty("weights", is_follower)
+        is_watcher = self.takeover_rank() < WEIGHTS_WATCHERS
+        return self._record_duty("weights", is_watcher)
 
     def _watches_lease(self) -> bool:
-        """Whether this router follows the lease for orders.
+        """Whether this router watches the lease for load orders.
 
-        Each reads it once after its start.  Failure: the holder dies with
-        many others, and the first in line has just started.  Symptom: it
-        counts the holder's silence from its first look at the lease on, so
-        engines wait for orders for as long as that look comes later.
+        Each router reads it once after its start.  Otherwise, if the
+        holder fails together with many others and the next one in line has
+        just started, that one measures the lease's age only from its first
+        read, and engines wait for orders for that much longer.
         """
         if not self._is_settled(self._settling):
             return not self._has_read_lease
         is_watcher = self.takeover_rank() < orders.LEASE_WATCHERS
         return self._record_duty("lease", is_watcher)
 
-    # Who follows.
+    # Controllers.
 
     def controllers(self) -> list[feeds.FeedController]:
-        """Return the tasks that follow each kind."""
+        """Return a controller for each watched kind."""
         kinds, wait_s = self._kinds, self._wait_s
         upstreams = fanout.FanoutFeed(
             self._store,
@@ -319,9 +323,9 @@
     def lease_controller(
         self, lease: holder.LeaseHolder
     ) -> feeds.FeedController:
-        """Return what tells the lease's part of the lease's object."""
+        """Return the controller that feeds the lease's object to `lease`."""
 
-        def replaced(objects, now_s: float) -> None:
+        def on_objects(objects, now_s: float) -> None:
             self._has_read_lease = True
             for stored in objects:
                 if stored.name == lease.name:
@@ -330,7 +334,7 @@
         return self._controller(
             self._store,
             holder.KIND,
-            feeds.Follower(replaced, _for_each_change(replaced)),
+            feeds.Follower(on_objects, _for_each_change(on_objects)),
             is_wanted=self._watches_lease,
         )
 
@@ -355,7 +359,7 @@
             is_wanted=is_wanted,
         )
 
-    # What is read.
+    # Callbacks of the watches.
 
     def _on_documents(self, objects, now_s: float) -> None:
         for stored in objects:
@@ -367,8 +371,10 @@
 
     def _on_upstream_list(self, objects, now_s: float) -> None:
         registry = self._state.registry
-        read = (self._read_upstream(each) for each in objects)
-        for upstream, absence in registry.replace(filter(None, read), now_s):
+        upstreams = (self._read_upstream(each) for each in objects)
+        for upstream, absence in registry.replace(
+            filter(None, upstreams), now_s
+        ):
             _record_upstream_change(upstream, absence.value)
         self._state.upstream_stats.retain(registry.incarnations)
 
@@ -390,7 +396,7 @@
         if upstream is not None and not change.is_deleted:
             self._on_registered(upstream)
             return
-        # An entry that cannot be read names no upstream to use.
+        # A deleted or malformed entry removes the upstream of its name.
         known = registry.by_name(change.object.name)
         is_earlier = upstream is not None and registry.is_superseded(upstream)
         if known is None or is_earlier:
@@ -401,7 +407,7 @@
         self._state.upstream_stats.retain(registry.incarnations)
 
     def expire_missing(self, now_s: float) -> None:
-        """Drop the upstreams whose entries have stayed missing."""
+        """Drop upstreams still missing after the grace period."""
         registry = self._state.registry
         dropped = registry.expire_missing(now_s)
         for upstream in dropped:
@@ -419,19 +425,19 @@
         if upstream.is_leaving and not (known and known.is_leaving):
             _record_upstream_change(upstream, "leaves")
             self._gossip.record_leaving(upstream.incarnation, clock.now_s())
-            # A peer that is cut off from the registry learns it from us.
+            # Peers without access to the registry learn it from this router.
             self._peering.client.hasten()
         registry.put(upstream)
         if known is None:
-            # A start before this one under the same name is forgotten.
+            # Drops the state of an earlier start under the same name.
             self._state.upstream_stats.retain(registry.incarnations)
 
     def _on_weights(self, objects, now_s: float) -> None:
         self._has_read_weights = True
         for stored in objects:
-            named = strange.decode_or_none(self._kinds.read_weights, stored)
-            if named and self._state.record_weights_version(*named, now_s):
-                # Routers that do not follow the weights hear it from us.
+            weights = strange.decode_or_none(self._kinds.read_weights, stored)
+            if weights and self._state.record_weights_version(*weights, now_s):
+                # Routers that do not watch the weights get them from peers.
                 self._peering.client.hasten()
 
 
@@ -446,11 +452,11 @@
     )
 
 
-def _for_each_change(replaced):
-    """Return what takes one change where all objects are taken."""
+def _for_each_change(on_objects):
+    """Return a change callback that calls a snapshot callback."""
 
-    def changed(change: feed.Change, now_s: float) -> None:
+    def on_change(change: feed.Change, now_s: float) -> None:
         if not change.is_deleted:
-            replaced((change.object,), now_s)
+            on_objects((change.object,), now_s)
 
-    return changed
+    return on_change
