--- a/toucanrudder/forwarding/cache_feed.py
+++ b/toucanrudder/forwarding/cache_feed.py
@@ -257,7 +257,7 @@
 
 @_is_current.register
 def _(source: model.Upstream, update: CacheUpdate) -> bool:
-    return source.says(update.born_ms)
+    return source.is_same_start(update.born_ms)
 
 
 @functools.lru_cache(maxsize=256)
--- a/toucanrudder/forwarding/loading.py
+++ b/toucanrudder/forwarding/loading.py
@@ -101,7 +101,7 @@
     ) -> rollout.EngineReport | None:
         """Return an engine's report; None without a current answer."""
         report = await self._dialect.report(upstream, timeout_s=CALL_TIMEOUT_S)
-        if report is None or not upstream.says(report.born_ms):
+        if report is None or not upstream.is_same_start(report.born_ms):
             return None
         self._on_answer()
         return report
@@ -230,7 +230,7 @@
             if report is None:
                 continue
             version = report.weights.get(task.model, 0)
-            self._state.registry.has_weights(name, task.model, version)
+            self._state.registry.update_weights(name, task.model, version)
             if version >= task.version or not report.is_busy:
                 break
         decisions.record(
--- a/toucanrudder/forwarding/orders.py
+++ b/toucanrudder/forwarding/orders.py
@@ -318,7 +318,9 @@
             engine
             for engine in engines
             if now_s
-            - self._state.states.of(engine.incarnation).last_peer_order_s
+            - self._state.upstream_stats.of(
+                engine.incarnation
+            ).last_peer_order_s
             >= quiet_period_s
         ]
 
@@ -330,7 +332,7 @@
             self._turn.has_answer = True
 
     def _request_count(self, upstream: model.Upstream, now_s: float) -> float:
-        state = self._state.states.of(upstream.incarnation)
+        state = self._state.upstream_stats.of(upstream.incarnation)
         return state.requests + state.other_requests(now_s)
 
     def _forget_completed(self, engines, newest) -> None:
@@ -390,7 +392,9 @@
         if not order.holds_slot:
             engines = [
                 engine
-                for engine in self._state.registry.of(task.upstream.service)
+                for engine in self._state.registry.for_service(
+                    task.upstream.service
+                )
                 if not engine.is_leaving
             ]
             age_s = self._age_s(task)
@@ -448,7 +452,7 @@
             await asyncio.sleep(loading.POLL_INTERVAL_S)
             return None
         version = report.weights.get(task.model, 0)
-        self._state.registry.has_weights(
+        self._state.registry.update_weights(
             task.upstream.incarnation, task.model, version
         )
         return report if version < task.version else None
--- a/toucanrudder/forwarding/placing.py
+++ b/toucanrudder/forwarding/placing.py
@@ -331,7 +331,7 @@
     )
     _copy_from_engines(copying, options, speed, now_s)
     _copy_from_store(options, prompt, cache_scope, store, index, speed)
-    shared_tokens = sum(part.tokens for part in prompt.shared)
+    shared_tokens = sum(part.tokens for part in prompt.shared_parts)
 
     def cost(option: _Option) -> tuple[float, int]:
         tokens = option.missing_tokens(prompt) + (
@@ -417,7 +417,7 @@
 
 def _ranks(prompt, cache_scope, candidates) -> dict[str, int]:
     names = [candidate.upstream.incarnation for candidate in candidates]
-    if prompt.shared:
+    if prompt.shared_parts:
         names = rendezvous.ranked(
             stores.rendezvous_key(prompt, cache_scope), names
         )
@@ -488,7 +488,7 @@
     can be named, the prompt would then be prefilled again although the
     store has it.
     """
-    if not prompt.shared:
+    if not prompt.shared_parts:
         return options
     return [
         option for option in options if not _may_use(store, option.candidate)
