--- a/toucanrudder/forwarding/cache_feed.py
+++ b/toucanrudder/forwarding/cache_feed.py
@@ -34,8 +34,9 @@
 #: get the events of few.  Requests then name the part store or a part's home.
 MAX_POLLING_ROUTERS = 16
 
-#: Most routers that poll one source: an engine keeps only a limited number
-#: of polls open at once, and others poll it too.
+#: Most routers that poll one source.  An engine keeps this many polls of
+#: routers open at once, unless it is configured for fewer; the rest of its
+#: limit is left to other clients.
 MAX_POLLERS = 8
 
 
--- a/toucanrudder/forwarding/capping.py
+++ b/toucanrudder/forwarding/capping.py
@@ -1,7 +1,8 @@
-"""Keeps organisations within their usage caps.
+"""Enforcement of organisations' usage caps.
 
-Load it answers: see `toucanrudder.admission.caps`.  For each organisation
-two live routers keep a balance; the others ask them before they send.
+For the expected load see `toucanrudder.admission.caps`.  Two live routers,
+the owners, keep each organisation's balance; the others ask one of them
+before they send a request.
 """
 
 import asyncio
@@ -23,30 +24,31 @@
 
 STEP = "cap"
 
-#: Longest wait for an owner's answer: round trips between zones, and an
-#: owner that is busy for a moment.
+#: Longest wait for an owner's answer: allows for round trips between zones
+#: and an owner that is busy for a moment.
 OWNER_TIMEOUT_S = 0.25
 
-#: For how long an owner that gave no answer is not asked.
-SHUN_S = 0.5
+#: Time for which an owner that gave no answer is not asked.
+OWNER_BACKOFF_S = 0.5
 
-#: For how long an owner's refusal is taken for its answer to the next
-#: request as well; then it is asked again.
-REFUSED_S = 0.1
+#: Longest time for which an owner's refusal answers further requests as
+#: well, before the owner is asked again.
+MAX_REFUSAL_REUSE_S = 0.1
 
-#: Longest wait for owners while none can be asked, as after the start of
-#: a whole fleet, and the pause between two looks.
-OWNERLESS_S = 1.0
-OWNERLESS_LOOK_S = 0.1
+#: Longest wait while no owner can be asked, as after the start of a whole
+#: fleet, and the interval between two attempts.
+MAX_OWNERLESS_WAIT_S = 1.0
+OWNERLESS_POLL_INTERVAL_S = 0.1
 
-#: Least number of routers assumed while the others are not known yet.
+#: Fewest routers assumed while the live routers are not refusal yet.
 ASSUMED_ROUTERS = 8
 
-#: Pause between two looks at who owns what.
-LOOK_S = 0.2
+#: Interval between two updates of the owners.
+REFRESH_INTERVAL_S = 0.2
 
-#: Time between two looks from which this router has stood still.
-FROZEN_S = 1.0
+#: Time between two updates from which this router counts as having been
+#: frozen.
+FREEZE_THRESHOLD_S = 1.0
 
 
 @attrs.frozen
@@ -58,21 +60,22 @@
     name : str
         Its name.
     address : str
-        Where it is asked; empty for this router.
+        Its address for peers; empty for this router.
     """
 
     name: str
     address: str = ""
 
 
-#: Asks the owner at an address whether units of an organisation may be
-#: used, or tells it of some beside; None if it gave no answer.
-Ask = Callable[[str, str, float, bool], Awaitable[caps.Decision | None]]
+#: Asks the owner at an address for units of an organisation's cap.  The
+#: arguments are address, organisation, units and whether the units are a
+#: settlement of extra use; the result is None without an answer.
+AskOwner = Callable[[str, str, float, bool], Awaitable[caps.Decision | None]]
 
 
 @attrs.define(eq=False)
 class Owners:
-    """Which live routers keep which organisation's balances.
+    """Live routers that keep the balances of each organisation.
 
     Parameters
     ----------
@@ -81,49 +84,49 @@
     """
 
     members: Callable[[], Sequence[Member]]
-    _ranked_of: Sequence[Member] = ()
+    _ranked_members: Sequence[Member] = ()
     _owners: dict[str, tuple[Member, ...]] = attrs.field(factory=dict)
 
     def refresh(self) -> bool:
-        """Look at the live routers; say whether they have changed."""
+        """Update the live routers; return whether they have changed."""
         members = self.members()
-        if members == self._ranked_of:
+        if members == self._ranked_members:
             return False
-        self._ranked_of = members
+        self._ranked_members = members
         self._owners.clear()
         return True
 
     @property
     def count(self) -> int:
         """Number of live routers."""
-        return len(self._ranked_of)
+        return len(self._ranked_members)
 
     def of(self, organisation: str) -> tuple[Member, ...]:
         """Return the owners of an organisation's balances."""
-        found = self._owners.get(organisation)
-        if found is None:
-            by_name = {each.name: each for each in self._ranked_of}
+        owners = self._owners.get(organisation)
+        if owners is None:
+            by_name = {member.name: member for member in self._ranked_members}
             key = f"cap/{organisation}".encode()[:64]
-            ranked = rendezvous.ranked(key, by_name)[: caps.OWNER_COUNT]
-            found = tuple(by_name[name] for name in ranked)
-            self._owners[organisation] = found
-        return found
+            ranked = rendezvous.ranked(key, by_name)[: caps.OWNERS]
+            owners = tuple(by_name[name] for name in ranked)
+            self._owners[organisation] = owners
+        return owners
 
-    def are_here(self, organisation: str) -> bool:
-        """Say whether this router is one of an organisation's owners."""
-        return any(not each.address for each in self.of(organisation))
+    def include_self(self, organisation: str) -> bool:
+        """Return whether this router is one of an organisation's owners."""
+        return any(not owner.address for owner in self.of(organisation))
 
 
 @attrs.frozen
 class _Refusal:
-    """An owner's refusal, as long as it is taken for its next answer.
+    """An owner's refusal that answers further requests for a while.
 
     Parameters
     ----------
     until_s : float
-        How long.
+        Monotonic time until which it does.
     free_s : float
-        When it expects to have room.
+        Monotonic time at which the owner expects to grant again.
     """
 
     until_s: float
@@ -136,17 +139,17 @@
     Parameters
     ----------
     bounds : caps.Bounds
-        How exactly caps are kept.
+        Bounds on the use beyond a cap.
     members : callable
         Returns all live routers, this one included.
     is_settled : callable
-        Whether all live routers are probably known.
+        Returns whether all live routers are probably refusal.
     ask : callable
-        Asks an owner (see `Ask`).
+        Asks an owner (see `AskOwner`).
     organisation_of : callable
-        Returns what is configured of an organisation, by its name.
+        Returns an organisation's configuration by its name.
     rng : random.Random
-        Spreads returns.
+        Chooses owners and spreads retries of refused callers.
     """
 
     def __init__(
@@ -155,7 +158,7 @@
         *,
         members: Callable[[], Sequence[Member]],
         is_settled: Callable[[], bool],
-        ask: Ask,
+        ask: AskOwner,
         organisation_of: Callable[[str], model.Organisation | None],
         rng: random.Random,
     ):
@@ -166,14 +169,14 @@
         self._organisation_of = organisation_of
         self._rng = rng
         self._ledger = caps.Ledger(bounds)
-        self._shares = caps.ReserveLimiter(bounds, rng)
-        self._size = caps.FleetSize(bounds.window_s)
+        self._shares = caps.EqualShares(bounds, rng)
+        self._fleet_size = caps.FleetSize(bounds.window_s)
         self._refusals: dict[tuple[str, str], _Refusal] = {}
-        self._shunned_until_s: dict[str, float] = {}
-        self._looked_s: float | None = None
+        self._backoff_until_s: dict[str, float] = {}
+        self._refreshed_s: float | None = None
         self._tasks: set[asyncio.Task] = set()
 
-    # What callers' requests pass.
+    # Callers' requests.
 
     @contextlib.asynccontextmanager
     async def admitted(
@@ -189,11 +192,12 @@
         Parameters
         ----------
         organisation : model.Organisation or None
-            Whose request it is.
+            Sender of the request.
         prompt : model.Prompt or None
-            What it asks.
+            Its prompt.
         runs : callable
-            Returns, in the end, on how many upstreams it may have run.
+            Called at the end; returns the number of upstreams on which the
+            request may have run.
         wait_s : float
             Longest wait while no owner of the cap can be asked.
 
@@ -206,18 +210,18 @@
         if cap is None:
             yield
             return
-        cost = cap.cost(prompt.total_tokens if prompt else None)
-        decision = await self._decided(organisation.name, cap, cost, wait_s)
+        cost = cap.cost(prompt.counted_tokens if prompt else None)
+        decision = await self._decide(organisation.name, cap, cost, wait_s)
         if decision.outcome is not caps.Outcome.GRANTED:
-            raise self._refused(organisation.name, cost, decision)
+            raise self._refusal_error(organisation.name, cost, decision)
         try:
             yield
         finally:
-            beside = (runs() - 1) * cost
-            if beside:
-                self._settle(organisation.name, beside)
+            extra_cost = (runs() - 1) * cost
+            if extra_cost:
+                self._settle(organisation.name, extra_cost)
 
-    def _refused(
+    def _refusal_error(
         self, organisation: str, cost: float, decision: caps.Decision
     ) -> errors.RudderError:
         is_too_large = decision.outcome is caps.Outcome.TOO_LARGE
@@ -239,77 +243,77 @@
             retry_after_s=None if is_too_large else decision.wait_s,
         )
 
-    async def _decided(
+    async def _decide(
         self, organisation: str, cap: caps.Cap, cost: float, wait_s: float
     ) -> caps.Decision:
-        """Decide; wait a little for owners while none can be asked."""
-        until_s = clock.now_s() + min(wait_s, OWNERLESS_S)
+        """Decide; retry for a while if no owner can be asked."""
+        until_s = clock.now_s() + min(wait_s, MAX_OWNERLESS_WAIT_S)
         while True:
-            decision = await self._by_owners(organisation, cap, cost)
+            decision = await self._ask_owners(organisation, cap, cost)
             if decision is not None:
                 return decision
-            decision = self._by_share(organisation, cap, cost)
+            decision = self._take_from_share(organisation, cap, cost)
             is_refused = decision.outcome is caps.Outcome.REFUSED
             if not is_refused or clock.now_s() >= until_s:
                 return decision
-            await asyncio.sleep(OWNERLESS_LOOK_S)
+            await asyncio.sleep(OWNERLESS_POLL_INTERVAL_S)
 
-    async def _by_owners(
+    async def _ask_owners(
         self, organisation: str, cap: caps.Cap, cost: float
     ) -> caps.Decision | None:
-        """Ask one owner after the other until one grants."""
-        self._look(clock.now_s())
+        """Ask the owners in random order until one does not refuse."""
+        self._refresh(clock.now_s())
         owners = list(self._owners.of(organisation))
         self._rng.shuffle(owners)
-        refused = []
+        refusals = []
         for owner in owners:
-            decision = await self._by_owner(owner, organisation, cap, cost)
+            decision = await self._ask_owner(owner, organisation, cap, cost)
             if decision is None:
                 continue
             if decision.outcome is not caps.Outcome.REFUSED:
                 return decision
-            refused.append(decision)
-        return min(refused, key=lambda each: each.wait_s, default=None)
+            refusals.append(decision)
+        return min(refusals, key=lambda refusal: refusal.wait_s, default=None)
 
-    async def _by_owner(
+    async def _ask_owner(
         self, owner: Member, organisation: str, cap: caps.Cap, cost: float
     ) -> caps.Decision | None:
-        """Return an owner's answer; None if it gives none."""
+        """Return an owner's decision; None if it cannot be asked."""
         now_s = clock.now_s()
         if not owner.address:
             if not self._is_settled():
                 return None
-            return self._by_ledger(organisation, cap, cost, now_s)
-        if now_s < self._shunned_until_s.get(owner.name, now_s):
+            return self._take_from_ledger(organisation, cap, cost, now_s)
+        if now_s < self._backoff_until_s.get(owner.name, now_s):
             return None
         key = organisation, owner.name
-        known = self._refusals.get(key)
-        if known is not None and now_s < known.until_s:
-            # Callers who are refused meanwhile come back spread behind.
-            wait_s = (known.free_s - now_s) * self._rng.uniform(1.0, 2.0)
+        refusal = self._refusals.get(key)
+        if refusal is not None and now_s < refusal.until_s:
+            # Spreads the retries of callers that are refused meanwhile.
+            wait_s = (refusal.free_s - now_s) * self._rng.uniform(1.0, 2.0)
             wait_s = min(wait_s, self._bounds.window_s)
             return caps.Decision(caps.Outcome.REFUSED, round(wait_s, 3))
         decision = await self._ask(owner.address, organisation, cost, False)
         now_s = clock.now_s()
         if decision is None:
-            self._shunned_until_s[owner.name] = now_s + SHUN_S
+            self._backoff_until_s[owner.name] = now_s + OWNER_BACKOFF_S
             return None
         if decision.outcome is caps.Outcome.REFUSED:
-            until_s = now_s + min(REFUSED_S, decision.wait_s)
+            until_s = now_s + min(MAX_REFUSAL_REUSE_S, decision.wait_s)
             free_s = now_s + decision.wait_s
             self._refusals[key] = _Refusal(until_s, free_s)
         return decision
 
-    def _by_ledger(
+    def _take_from_ledger(
         self, organisation: str, cap: caps.Cap, cost: float, now_s: float
     ) -> caps.Decision:
-        share = self._size.share(self._owners.count, now_s)
+        share = self._fleet_size.share(self._owners.count, now_s)
         share /= len(self._owners.of(organisation))
         return self._ledger.try_spend(
             organisation, cap, cost, now_s, share=share
         )
 
-    def _by_share(
+    def _take_from_share(
         self, organisation: str, cap: caps.Cap, cost: float
     ) -> caps.Decision:
         routers = self._owners.count
@@ -323,57 +327,60 @@
         )
 
     def _settle(self, organisation: str, units: float) -> None:
-        """Count units beside; its answer is not waited for."""
-        self._look(clock.now_s())
+        """Report units used beyond a grant, without waiting for an answer."""
+        self._refresh(clock.now_s())
         owner = self._rng.choice(self._owners.of(organisation))
         if not owner.address:
             self._ledger.charge(organisation, units)
             return
-        told = self._ask(owner.address, organisation, units, True)
-        task = asyncio.ensure_future(told)
+        settlement = self._ask(owner.address, organisation, units, True)
+        task = asyncio.ensure_future(settlement)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    # What other routers ask.
+    # Requests of other routers.
 
     def answer(
         self, organisation: str, units: float, is_settlement: bool
     ) -> caps.Decision | None:
-        """Answer another router; None if this one is not the owner."""
+        """Answer another router; None if this one is not an owner."""
         now_s = clock.now_s()
-        self._look(now_s)
-        found = self._organisation_of(organisation)
-        cap = found.cap if found is not None else None
-        if cap is None or not caps.is_finite(units):
+        self._refresh(now_s)
+        configured = self._organisation_of(organisation)
+        cap = configured.cap if configured is not None else None
+        if cap is None or not caps.is_valid(units):
             return None
-        if not self._owners.are_here(organisation) or not self._is_settled():
+        if (
+            not self._owners.include_self(organisation)
+            or not self._is_settled()
+        ):
             return None
         if is_settlement:
             self._ledger.charge(organisation, units)
             return caps.GRANTED
         if units < 0:
             return None
-        return self._by_ledger(organisation, cap, units, now_s)
+        return self._take_from_ledger(organisation, cap, units, now_s)
 
-    # What is kept meanwhile.
+    # Periodic updates.
 
     async def run(self) -> None:
-        """Look at the live routers until cancelled."""
+        """Update the live routers until cancelled."""
         while True:
-            self._look(clock.now_s())
-            await asyncio.sleep(LOOK_S)
-
-    def _look(self, now_s: float) -> None:
-        """Note who lives, and whether this router has stood still."""
-        before_s, self._looked_s = self._looked_s, now_s
-        if before_s is not None and now_s - before_s > FROZEN_S:
-            self._ledger.restart_empty(now_s)
+            self._refresh(clock.now_s())
+            await asyncio.sleep(REFRESH_INTERVAL_S)
+
+    def _refresh(self, now_s: float) -> None:
+        """Update the live routers; empty the balances after a freeze."""
+        before_s, self._refreshed_s = self._refreshed_s, now_s
+        if before_s is not None and now_s - before_s > FREEZE_THRESHOLD_S:
+            self._ledger.empty(now_s)
         if not self._owners.refresh():
             return
-        self._size.share(self._owners.count, now_s)
-        self._ledger.set_owner_since(now_s)
-        for name in self._ledger.organisations():
-            if not self._owners.are_here(name):
+        self._fleet_size.share(self._owners.count, now_s)
+        self._ledger.owned_since(now_s)
+        for name in self._ledger.names():
+            if not self._owners.include_self(name):
                 self._ledger.drop(name)
         self._refusals.clear()
-        self._shunned_until_s.clear()
+        self._backoff_until_s.clear()
--- a/toucanrudder/forwarding/poison.py
+++ b/toucanrudder/forwarding/poison.py
@@ -1,9 +1,9 @@
-"""Requests under which one upstream after the other breaks off.  No I/O.
+"""Detection of requests that crash their upstreams.  No I/O.
 
-A request that crashes each process that runs it comes back with the same
-path, body and caller, at any router.  Routers tell each other which
-requests were under way when a connection to an upstream broke; one that
-was there too often is sent nowhere any more.
+Such a request is sent again with the same path, body and organisation, to
+any router.  Routers tell each other which requests were in flight when a
+connection to an upstream broke; a request with too many such crashes is no
+longer sent to any upstream.
 """
 
 import hashlib
@@ -11,14 +11,14 @@
 from toucanrudder import quarantine
 from toucanrudder.forwarding import model
 
-#: Upstream processes that may break off under one request.  A caller's
-#: tries and resumes of a harmless one meet two crashes at the most, even
-#: when a third of all engines crash at once and again.
+#: Number of upstream processes crashed during a request from which it is
+#: stopped.  A caller's tries and resumes of a harmless request meet two
+#: crashes at most, even if a third of all engines crash at once and again.
 MAX_CRASHES = 3
 
 
 def fingerprint(organisation: str, target: bytes, body: bytes) -> str:
-    """Return the identity by which a request is known when it comes again.
+    """Return the identity of a request over its retries.
 
     Examples
     --------
@@ -30,7 +30,7 @@
 
 
 class CrashCounts:
-    """Breaks by request, of this router and, by merging, of all others.
+    """Crashes by request, of this router and, by merging, of its peers.
 
     Examples
     --------
@@ -44,43 +44,43 @@
 
     def __init__(self):
         self.suspicions = quarantine.SuspectTracker()
-        self._processes: dict[str, set[tuple[str, str]]] = {}
+        self._crashes: dict[str, set[tuple[str, str]]] = {}
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing has broken off lately."""
-        return not self._processes
+        """Whether there were no recent crashes."""
+        return not self._crashes
 
     @property
     def fingerprints(self) -> set[str]:
-        """Requests under which something has broken off."""
-        return set(self._processes)
+        """Fingerprints of requests with crashes."""
+        return set(self._crashes)
 
     def record_crash(
         self, fingerprint_: str, upstream: model.Upstream, wall_s: float
     ) -> None:
-        """Note that an upstream broke off while it ran the request."""
-        self.suspicions.record_crash(
+        """Record that an upstream's connection broke during the request."""
+        self.suspicions.crashed(
             upstream.address,
             upstream.incarnation,
             [quarantine.InFlight(fingerprint_)],
             wall_s,
         )
-        self._count(wall_s)
+        self._update_crashes(wall_s)
 
     def merge(self, entries, wall_s: float) -> None:
-        """Take in what another router has seen."""
+        """Merge the entries of another router."""
         if self.suspicions.merge(entries, wall_s):
-            self._count(wall_s)
+            self._update_crashes(wall_s)
 
-    def _count(self, wall_s: float) -> None:
-        self._processes = {}
+    def _update_crashes(self, wall_s: float) -> None:
+        self._crashes = {}
         for entry in self.suspicions.entries(wall_s):
             if entry.kind is quarantine.Kind.CRASH:
-                found = self._processes.setdefault(entry.fingerprint, set())
-                found.add(entry.crash)
+                crashes = self._crashes.setdefault(entry.fingerprint, set())
+                crashes.add(entry.crash)
 
     def is_poison(self, fingerprint_: str) -> bool:
-        """Whether the request is to be sent nowhere any more."""
-        found = self._processes.get(fingerprint_, ())
-        return len(found) >= MAX_CRASHES
+        """Whether the request must not be sent to any upstream."""
+        crashes = self._crashes.get(fingerprint_, ())
+        return len(crashes) >= MAX_CRASHES
--- a/toucanrudder/forwarding/retry_window.py
+++ b/toucanrudder/forwarding/retry_window.py
@@ -1,4 +1,4 @@
-"""This router's part of limits that all routers share.  No I/O."""
+"""This router's share of the retry limit of all routers.  No I/O."""
 
 import collections
 import math
@@ -8,16 +8,16 @@
 
 @attrs.frozen
 class RetryBounds:
-    """Bounds of the arrivals that repeat a request, over all routers.
+    """Bounds on the retries of all routers to one service.
 
     Parameters
     ----------
     ratio : float
-        Repeats for each request.
+        Retries per request.
     slack : float
-        Repeats that are allowed beside, in one window.
+        Additional retries in one window.
     window_s : float
-        Length of the window.
+        Length of the window in seconds.
     """
 
     ratio: float = 0.2
@@ -25,33 +25,33 @@
     window_s: float = 10.0
 
 
-#: Part of the bound that is used.  Routers learn of each other's coming
-#: and going seconds late.
-USED_SHARE = 0.8
+#: Fraction of the bound that is used, as routers learn seconds late that
+#: others have started or stopped.
+SAFETY_FACTOR = 0.8
 
-#: Pieces in which a window slides: the more, the closer to the bound.
-SLOTS = 20
+#: Buckets of a sliding window: the more, the closer to the bound.
+BUCKETS = 20
 
-#: Part of a router's slack that it may use right after its start: the one
-#: before it in its place may have used as much in the same window.
-FRESH_SHARE = 0.5
+#: Fraction of its slack that a router may use right after its start: its
+#: predecessor may have used as much in the same window.
+START_SLACK_SHARE = 0.5
 
 
 @attrs.define
 class RetryWindow:
-    """This router's share of the retries to one service.
+    """Sliding-window limit of this router's retries to one service.
 
-    Load it answers: an engine breaks off under a few dozen requests within
-    a tenth of a second, or refuses as many while it loads new weights.  A
-    bucket that fills with the requests and holds a few retries lets most
-    of them be lost, though the bound is on a whole window; this counts
-    the window itself.  On a day of crashes beside new weights half of the
-    requests that engines had refused found the bucket empty.
+    Expected load: an engine fails under a few dozen requests within a tenth
+    of a second, or refuses as many while it loads new weights.  A token
+    bucket that is filled by requests and holds a few retries would lose
+    most of them although the bound is on a whole window.  With crashes
+    during a change of weights, half of the requests that engines refused
+    found such a bucket empty.  So the window itself is counter.
 
     Parameters
     ----------
     bounds : RetryBounds
-        Over all routers.
+        Bounds over all routers.
 
     Examples
     --------
@@ -65,54 +65,54 @@
 
     bounds: RetryBounds
     _requests: collections.Counter = attrs.field(factory=collections.Counter)
-    _spent: collections.Counter = attrs.field(factory=collections.Counter)
+    _retries: collections.Counter = attrs.field(factory=collections.Counter)
     _began_s: float | None = None
 
-    def _slot(self, now_s: float) -> int:
-        return math.floor(now_s * SLOTS / self.bounds.window_s)
+    def _bucket(self, now_s: float) -> int:
+        return math.floor(now_s * BUCKETS / self.bounds.window_s)
 
     def record_request(self, now_s: float) -> None:
-        """Note a caller's request to the service (not a retry)."""
+        """Record a caller's request to the service (not a retry)."""
         self._note(self._requests, now_s)
 
-    def _note(self, counted: collections.Counter, now_s: float) -> None:
+    def _note(self, counter: collections.Counter, now_s: float) -> None:
         if self._began_s is None:
             self._began_s = now_s
-        slot = self._slot(now_s)
-        if slot not in counted:
-            for old in [each for each in counted if each < slot - SLOTS]:
-                del counted[old]
-        counted[slot] += 1
+        bucket = self._bucket(now_s)
+        if bucket not in counter:
+            for old in [key for key in counter if key < bucket - BUCKETS]:
+                del counter[old]
+        counter[bucket] += 1
 
     def remaining(self, now_s: float, routers: int) -> float:
-        """Return the retries that may still be made now.
+        """Return the number of retries that are allowed now.
 
-        Of requests only the slots that lie wholly in the window count, of
-        retries also the one that lies in it in part.
+        Requests count only in buckets entirely inside the window, retries
+        also in the bucket that is partly inside.
         """
-        slot = self._slot(now_s)
+        bucket = self._bucket(now_s)
         requests = sum(
-            number
-            for each, number in self._requests.items()
-            if each > slot - SLOTS
+            count
+            for key, count in self._requests.items()
+            if key > bucket - BUCKETS
         )
-        spent = sum(
-            number
-            for each, number in self._spent.items()
-            if each >= slot - SLOTS
+        retries = sum(
+            count
+            for key, count in self._retries.items()
+            if key >= bucket - BUCKETS
         )
         slack = self._slack_share(now_s) * self.bounds.slack / max(1, routers)
-        allowed = USED_SHARE * (self.bounds.ratio * requests + slack)
-        return allowed - spent
+        allowed = SAFETY_FACTOR * (self.bounds.ratio * requests + slack)
+        return allowed - retries
 
     def _slack_share(self, now_s: float) -> float:
         if self._began_s is None:
-            return FRESH_SHARE
+            return START_SLACK_SHARE
         age = (now_s - self._began_s) / self.bounds.window_s
-        return min(1.0, FRESH_SHARE + (1.0 - FRESH_SHARE) * age)
+        return min(1.0, START_SLACK_SHARE + (1.0 - START_SLACK_SHARE) * age)
 
     def spend(self, now_s: float, routers: int) -> bool:
-        """Take one retry from the share.
+        """Take one retry from this router's share.
 
         Parameters
         ----------
@@ -124,9 +124,9 @@
         Returns
         -------
         bool
-            False when the share is spent; the retry must not be made.
+            False if the share is used up; the retry must not be made.
         """
         if self.remaining(now_s, routers) < 1.0:
             return False
-        self._note(self._spent, now_s)
+        self._note(self._retries, now_s)
         return True
--- a/toucanrudder/soak/mutants.py
+++ b/toucanrudder/soak/mutants.py
@@ -130,7 +130,7 @@
     Mutant(
         "a poisonous request is not recognised",
         "forwarding/poison.py",
-        "return len(found) >= MAX_CRASHES",
+        "return len(crashes) >= MAX_CRASHES",
         "return False",
     ),
     Mutant(
