--- a/toucanrudder/forwarding/capping.py
+++ b/toucanrudder/forwarding/capping.py
@@ -69,7 +69,7 @@
 
 #: Asks the owner at an address for units of an organisation's cap.  The
 #: arguments are address, organisation, units and whether the units are a
-#: settlement of extra use; the result is None without an answer.
+#: settlement of an earlier grant; the result is None without an answer.
 AskOwner = Callable[[str, str, float, bool], Awaitable[caps.Decision | None]]
 
 
@@ -143,7 +143,7 @@
     members : callable
         Returns all live routers, this one included.
     is_settled : callable
-        Returns whether all live routers are probably refusal.
+        Returns whether all live routers are probably known.
     ask : callable
         Asks an owner (see `AskOwner`).
     organisation_of : callable
@@ -217,9 +217,9 @@
         try:
             yield
         finally:
-            extra_cost = (runs() - 1) * cost
-            if extra_cost:
-                self._settle(organisation.name, extra_cost)
+            adjustment = (runs() - 1) * cost
+            if adjustment:
+                self._settle(organisation.name, adjustment)
 
     def _refusal_error(
         self, organisation: str, cost: float, decision: caps.Decision
@@ -327,7 +327,7 @@
         )
 
     def _settle(self, organisation: str, units: float) -> None:
-        """Report units used beyond a grant, without waiting for an answer."""
+        """Add units to a past grant, without waiting for an answer."""
         self._refresh(clock.now_s())
         owner = self._rng.choice(self._owners.of(organisation))
         if not owner.address:
--- a/toucanrudder/forwarding/retry_window.py
+++ b/toucanrudder/forwarding/retry_window.py
@@ -46,7 +46,7 @@
     bucket that is filled by requests and holds a few retries would lose
     most of them although the bound is on a whole window.  With crashes
     during a change of weights, half of the requests that engines refused
-    found such a bucket empty.  So the window itself is counter.
+    found such a bucket empty.  So the window itself is counted.
 
     Parameters
     ----------
