--- a/toucanrudder/forwarding/capping.py
+++ b/toucanrudder/forwarding/capping.py
@@ -107,7 +107,7 @@
         if owners is None:
             by_name = {member.name: member for member in self._ranked_members}
             key = f"cap/{organisation}".encode()[:64]
-            ranked = rendezvous.ranked(key, by_name)[: caps.OWNERS]
+            ranked = rendezvous.ranked(key, by_name)[: caps.OWNER_COUNT]
             owners = tuple(by_name[name] for name in ranked)
             self._owners[organisation] = owners
         return owners
@@ -169,7 +169,7 @@
         self._organisation_of = organisation_of
         self._rng = rng
         self._ledger = caps.Ledger(bounds)
-        self._shares = caps.EqualShares(bounds, rng)
+        self._shares = caps.ReserveLimiter(bounds, rng)
         self._fleet_size = caps.FleetSize(bounds.window_s)
         self._refusals: dict[tuple[str, str], _Refusal] = {}
         self._backoff_until_s: dict[str, float] = {}
@@ -210,7 +210,7 @@
         if cap is None:
             yield
             return
-        cost = cap.cost(prompt.counted_tokens if prompt else None)
+        cost = cap.cost(prompt.total_tokens if prompt else None)
         decision = await self._decide(organisation.name, cap, cost, wait_s)
         if decision.outcome is not caps.Outcome.GRANTED:
             raise self._refusal_error(organisation.name, cost, decision)
@@ -348,7 +348,7 @@
         self._refresh(now_s)
         configured = self._organisation_of(organisation)
         cap = configured.cap if configured is not None else None
-        if cap is None or not caps.is_valid(units):
+        if cap is None or not caps.is_finite(units):
             return None
         if (
             not self._owners.include_self(organisation)
@@ -374,12 +374,12 @@
         """Update the live routers; empty the balances after a freeze."""
         before_s, self._refreshed_s = self._refreshed_s, now_s
         if before_s is not None and now_s - before_s > FREEZE_THRESHOLD_S:
-            self._ledger.empty(now_s)
+            self._ledger.restart_empty(now_s)
         if not self._owners.refresh():
             return
         self._fleet_size.share(self._owners.count, now_s)
-        self._ledger.owned_since(now_s)
-        for name in self._ledger.names():
+        self._ledger.set_owner_since(now_s)
+        for name in self._ledger.organisations():
             if not self._owners.include_self(name):
                 self._ledger.drop(name)
         self._refusals.clear()
--- a/toucanrudder/forwarding/poison.py
+++ b/toucanrudder/forwarding/poison.py
@@ -60,7 +60,7 @@
         self, fingerprint_: str, upstream: model.Upstream, wall_s: float
     ) -> None:
         """Record that an upstream's connection broke during the request."""
-        self.suspicions.crashed(
+        self.suspicions.record_crash(
             upstream.address,
             upstream.incarnation,
             [quarantine.InFlight(fingerprint_)],
--- a/toucanrudder/forwarding/stores.py
+++ b/toucanrudder/forwarding/stores.py
@@ -99,7 +99,7 @@
     >>> store_for(model.Prompt("m", (model.Part("own", 9),)), "", stores)
     """
     by_address = {store.address: store for store in stores}
-    if not by_address or not prompt.shared:
+    if not by_address or not prompt.shared_parts:
         return None
     ranked = rendezvous.ranked(
         rendezvous_key(prompt, cache_scope), sorted(by_address)
@@ -109,4 +109,4 @@
 
 def rendezvous_key(prompt: model.Prompt, cache_scope: str) -> bytes:
     """Return the rendezvous hashing key of a prompt's shared parts."""
-    return f"{cache_scope}/{prompt.shared[-1].identity}".encode()[:64]
+    return f"{cache_scope}/{prompt.shared_parts[-1].identity}".encode()[:64]
