--- a/toucanrudder/bench/capacity/pure.py
+++ b/toucanrudder/bench/capacity/pure.py
@@ -130,7 +130,7 @@
         for n in range(size)
     )
     fleet = types.FleetView(
-        views, "z1", ROUTERS, heat={key: 1.0 for key in keys}
+        views, "z1", ROUTERS, prefix_rates={key: 1.0 for key in keys}
     )
     query = types.Query("r", "o", request.Priority.NORMAL, keys, 22000, 1000.0)
     context = types.Context(model.Policy(), draw)
--- a/toucanrudder/placement/imports.py
+++ b/toucanrudder/placement/imports.py
@@ -1,4 +1,4 @@
-"""When to fetch kept KV cache rather than compute a prefix again."""
+"""Decision to import stored KV cache instead of recomputing a prefix."""
 
 from collections.abc import Sequence
 
@@ -10,21 +10,21 @@
 
 @attrs.frozen
 class ImportCost:
-    """How long an import takes.
+    """Time that an import of KV cache takes.
 
     Parameters
     ----------
     start_s : float
-        Fixed time of one import.
+        Fixed seconds for each import.
     tokens_per_s : float
-        Speed after that.
+        Tokens a second after that.
     """
 
     start_s: float = 0.05
     tokens_per_s: float = 100000.0
 
     def duration_s(self, tokens: int) -> float:
-        """Return the expected time to import that many tokens.
+        """Return the expected seconds to import that many tokens.
 
         Examples
         --------
@@ -36,18 +36,18 @@
 
 @attrs.frozen
 class Import:
-    """An order to fetch blocks into an engine before a request.
+    """Blocks of KV cache to import into an engine before a request.
 
     Parameters
     ----------
     upstream, incarnation : str
-        The engine process it was decided for.
+        The engine process.
     blocks : tuple of bytes
         Keys of the blocks, outermost first.
     tokens : int
-        Tokens they hold.
+        Tokens in the blocks.
     saved_s : float
-        Expected gain over recomputation.
+        Expected seconds saved against recomputation.
     """
 
     upstream: str
@@ -60,10 +60,10 @@
 def plan_import(
     upstream: types.UpstreamView,
     query: types.Query,
-    kept_keys: Sequence[bytes],
+    stored_keys: Sequence[bytes],
     cost: ImportCost,
 ) -> Import | None:
-    """Return what to import before the request, or None.
+    """Return the import that saves time before the request, or None.
 
     Parameters
     ----------
@@ -71,20 +71,20 @@
         The engine chosen for the request.
     query : types.Query
         The request.
-    kept_keys : sequence of bytes
-        Those of the prompt's keys believed to be in the store of kept
-        cache.  Keys depend on the organisation and the weights, so what
-        others or older weights left there cannot be named.
+    stored_keys : sequence of bytes
+        Those of the prompt's keys expected in the cache store.  Keys
+        depend on the organisation and the weights, so blocks of others or
+        of older weights never match.
     cost : ImportCost
-        Measured cost of imports.
+        Time that an import takes.
     """
-    held = upstream.expected_cached_tokens // identity.BLOCK_TOKENS
-    kept = set(kept_keys)
+    cached_blocks = upstream.expected_cached_tokens // identity.BLOCK_TOKENS
+    stored = set(stored_keys)
     blocks = []
-    # A block is of use only if every block before it is there: the first
-    # one missing in the store ends the import.
-    for key in query.prefix_keys[held:]:
-        if key not in kept:
+    # A block is usable only if every block before it is cached: the first
+    # one that is missing in the store ends the import.
+    for key in query.prefix_keys[cached_blocks:]:
+        if key not in stored:
             break
         blocks.append(key)
     tokens = len(blocks) * identity.BLOCK_TOKENS
--- a/toucanrudder/placement/policies.py
+++ b/toucanrudder/placement/policies.py
@@ -1,7 +1,7 @@
-"""The placement policies: ours, and the baselines it is measured against.
+"""Placement policies: least expected cost, and baselines to compare with.
 
-All are pure: the same arguments, the state of the random generator
-included, give the same decision.
+All are pure functions: the same arguments, the state of the random
+generator included, give the same decision.
 """
 
 import functools
@@ -9,7 +9,7 @@
 import attrs
 
 from toucanrudder import errors
-from toucanrudder.placement import homes
+from toucanrudder.placement import affinity
 from toucanrudder.placement import rendezvous
 from toucanrudder.placement import types
 from toucanrudder.placement import waiting
@@ -20,34 +20,35 @@
 
 
 @attrs.frozen
-class Toucanrudder:
-    """Least expected cost of waiting and recomputation.
+class LeastExpectedCost:
+    """The engine with the least expected cost of waiting and recomputation.
 
     Parameters
     ----------
-    away_share : float
-        Part of the prompt's recompute time that is added to the cost of
-        an engine that is not a home of its prefix: what the copy made
-        there will cost others in cache space and never earn back.
-    rank_share : float
-        The same per place in the order of the homes.  Small: it makes
-        routers agree when nothing else differs, and yields to load.
-    crowding : float
-        How much each request waiting per engine raises the price of
-        recomputation.
+    spill_penalty : float
+        Fraction of the prompt's recompute time added to the cost of an
+        engine that is not preferred for its prefix: the additional copy
+        takes cache space from others and is seldom used again.
+    rank_penalty : float
+        The same for each place in the order of the preferred engines.
+        Small: it makes routers agree when nothing else differs, and is
+        outweighed by load.
+    queue_factor : float
+        Relative rise of the price of recomputation for each request
+        waiting per engine.
     tie_s : float
-        Costs within this of the least are equal.
+        Seconds of cost above the least within which engines are equal.
     """
 
-    away_share: float = 0.05
-    rank_share: float = 0.02
-    crowding: float = 4.0
+    spill_penalty: float = 0.05
+    rank_penalty: float = 0.02
+    queue_factor: float = 4.0
     tie_s: float = 0.002
 
 
 @attrs.frozen
 class Random:
-    """Any engine with equal chance."""
+    """Any engine, with equal probability."""
 
 
 @attrs.frozen
@@ -57,19 +58,19 @@
 
 @attrs.frozen
 class PrefixHash:
-    """The engine that owns the prompt's prefix, whatever its load.
+    """The engine to which the prompt's prefix hashes, whatever its load.
 
     Parameters
     ----------
     blocks : int
-        Leading blocks of the prompt that are hashed, at most.
+        Most leading blocks of the prompt that are hashed.
     """
 
     blocks: int = 2
 
 
 _BY_NAME = {
-    "toucanrudder": Toucanrudder,
+    "toucanrudder": LeastExpectedCost,
     "random": Random,
     "least-loaded": LeastLoaded,
     "prefix-hash": PrefixHash,
@@ -77,7 +78,7 @@
 
 
 def by_name(name: str) -> object:
-    """Return the policy that a settings file names.
+    """Return the policy of a name in the settings.
 
     Raises
     ------
@@ -110,20 +111,20 @@
     query : types.Query
         The request.
     context : types.Context
-        Trade-offs, randomness, engines to leave out.
+        Trade-offs, random generator, engines to exclude.
     now_s : float
-        Present monotonic time.
+        Current monotonic time.
 
     Returns
     -------
     types.Decision
-        The engine and what is expected of it.
+        The engine, its expected wait and cache hits.
 
     Raises
     ------
     RudderError
         ``no_upstream`` if no engine is left; ``deadline_unmet`` if none
-        is expected to give the first token in time.  Nothing has run.
+        is expected to send the first token in time.  Nothing has run.
     """
     usable = tuple(
         upstream
@@ -154,11 +155,13 @@
 
 @_choose.register
 def _choose_least_loaded(policy: LeastLoaded, fleet, query, context, now_s):
-    least = min(waiting.requests(each, now_s) for each in fleet.upstreams)
+    least = min(
+        waiting.request_count(upstream, now_s) for upstream in fleet.upstreams
+    )
     tied = [
-        each
-        for each in fleet.upstreams
-        if waiting.requests(each, now_s) == least
+        upstream
+        for upstream in fleet.upstreams
+        if waiting.request_count(upstream, now_s) == least
     ]
     return _decision(context.rng.choice(tied), query, now_s, "least_loaded")
 
@@ -170,74 +173,87 @@
         return _choose_random(Random(), fleet, query, context, now_s)
     names = [upstream.name for upstream in fleet.upstreams]
     owner = rendezvous.ranked(hashed[-1], names)[0]
-    chosen = next(each for each in fleet.upstreams if each.name == owner)
+    chosen = next(
+        upstream for upstream in fleet.upstreams if upstream.name == owner
+    )
     return _decision(chosen, query, now_s, "prefix_hash")
 
 
 @attrs.frozen
-class _Rated:
+class _Candidate:
     upstream: types.UpstreamView
     first_token_s: float
     cost: float
 
 
 @_choose.register
-def _choose_by_cost(policy: Toucanrudder, fleet, query, context, now_s):
-    owners = homes.homes(fleet, query)
+def _choose_by_cost(policy: LeastExpectedCost, fleet, query, context, now_s):
+    preferred = affinity.preferred_engines(fleet, query)
     price = _recompute_price(policy, fleet, context, now_s)
-    rated = [
-        _rate(policy, each, fleet, query, context, owners, price, now_s)
-        for each in fleet.upstreams
+    candidates = [
+        _estimate(
+            policy, upstream, fleet, query, context, preferred, price, now_s
+        )
+        for upstream in fleet.upstreams
+    ]
+    _check_deadline(candidates, query, now_s)
+    least = min(candidate.cost for candidate in candidates)
+    # Eight routers that see the same loads must not all choose the same
+    # engine for a difference smaller than the error of the loads.
+    tied = [
+        candidate
+        for candidate in candidates
+        if candidate.cost <= least + policy.tie_s
     ]
-    _check_deadline(rated, query, now_s)
-    least = min(each.cost for each in rated)
-    # Eight routers that see the same numbers must not all take the same
-    # engine for a difference that is smaller than the numbers' error.
-    tied = [each for each in rated if each.cost <= least + policy.tie_s]
     chosen = context.rng.choice(tied).upstream
-    return _decision(chosen, query, now_s, _reason(chosen, owners))
+    return _decision(chosen, query, now_s, _reason(chosen, preferred))
 
 
 def _recompute_price(policy, fleet, context, now_s):
     # A second of recomputation delays each request that waits behind it.
-    # At a fixed price, a crowded fleet sends prompts away from their
-    # caches, which makes it compute more and crowds it further; it stays
-    # so after the cause is gone.
-    beyond = sum(
-        max(0.0, waiting.requests(each, now_s) - 1) for each in fleet.upstreams
+    # At a fixed price, an overloaded fleet places prompts away from their
+    # caches, computes more and is overloaded further, even after the cause
+    # is gone.
+    waiting_requests = sum(
+        max(0.0, waiting.request_count(upstream, now_s) - 1)
+        for upstream in fleet.upstreams
+    )
+    mean_waiting = waiting_requests / len(fleet.upstreams)
+    return context.policy.recompute_weight * (
+        1 + policy.queue_factor * mean_waiting
     )
-    crowd = beyond / len(fleet.upstreams)
-    return context.policy.recompute_weight * (1 + policy.crowding * crowd)
 
 
-def _rate(policy, upstream, fleet, query, context, owners, price, now_s):
+def _estimate(
+    policy, upstream, fleet, query, context, preferred, price, now_s
+):
     weights = context.policy
     speed = max(1.0, upstream.prefill_tokens_per_s)
-    wait_s = waiting.expected_s(upstream, now_s)
+    wait_s = waiting.expected_wait_s(upstream, now_s)
     recompute_s = (query.prompt_tokens - _hit_tokens(upstream, query)) / speed
     hop_s = weights.zone_hop_s if upstream.zone != fleet.zone else 0.0
-    placing = _placing_share(policy, upstream.name, owners)
+    penalty = _placement_penalty(policy, upstream.name, preferred)
     cost = (
         weights.wait_weight * (wait_s + 2 * hop_s)
         + price * recompute_s
-        + price * placing * query.prompt_tokens / speed
+        + price * penalty * query.prompt_tokens / speed
     )
-    return _Rated(upstream, wait_s + recompute_s + 2 * hop_s, cost)
+    return _Candidate(upstream, wait_s + recompute_s + 2 * hop_s, cost)
 
 
-def _placing_share(policy, name, owners):
-    if name in owners:
-        return policy.rank_share * owners.index(name)
-    return policy.away_share
+def _placement_penalty(policy, name, preferred):
+    if name in preferred:
+        return policy.rank_penalty * preferred.index(name)
+    return policy.spill_penalty
 
 
-def _check_deadline(rated, query, now_s):
-    soonest_s = min(each.first_token_s for each in rated)
+def _check_deadline(candidates, query, now_s):
+    soonest_s = min(candidate.first_token_s for candidate in candidates)
     late_s = now_s + soonest_s - query.deadline_s
     if late_s <= 0:
         return
-    # Work that will be late anyway would only delay the work that will
-    # not; the caller hears at once and can do something else.
+    # A request that will miss its deadline would only delay others; the
+    # caller is refused at once and can react.
     raise errors.RudderError(
         errors.Code.DEADLINE_UNMET,
         f"first token expected in {soonest_s:.2f} s, too late",
@@ -250,10 +266,10 @@
     return min(upstream.expected_cached_tokens, query.prompt_tokens)
 
 
-def _reason(chosen, owners):
+def _reason(chosen, preferred):
     if chosen.expected_cached_tokens:
         return "cached"
-    return "home" if chosen.name in owners else "spill"
+    return "home" if chosen.name in preferred else "spill"
 
 
 def _decision(chosen, query, now_s, reason):
@@ -261,6 +277,6 @@
         upstream=chosen.name,
         incarnation=chosen.incarnation,
         expected_hit_tokens=_hit_tokens(chosen, query),
-        expected_wait_s=waiting.expected_s(chosen, now_s),
+        expected_wait_s=waiting.expected_wait_s(chosen, now_s),
         reason=reason,
     )
--- a/toucanrudder/placement/rendezvous.py
+++ b/toucanrudder/placement/rendezvous.py
@@ -1,7 +1,7 @@
-"""Highest-random-weight hashing of prefix keys to engines.
+"""Rendezvous (highest-random-weight) hashing of keys to names.
 
-All routers with the same list of engines rank them alike without talking
-to each other, and the loss of one engine moves only its own prefixes.
+Routers with the same list of engines rank them alike without
+communication, and the loss of one engine moves only its own prefixes.
 """
 
 from collections.abc import Callable
@@ -12,19 +12,19 @@
 
 
 def ranked(key: bytes, names: Iterable[str]) -> list[str]:
-    """Return the names in the order in which they own the key.
+    """Return the names ranked for a key.
 
     Parameters
     ----------
     key : bytes
-        A prefix key.
+        Key to hash, for example of a prefix; at most 64 bytes.
     names : iterable of str
-        Engines' names; their order is of no account.
+        Names to rank, in any order.
 
     Returns
     -------
     list of str
-        All names, the owner first.
+        All names; the first is the owner of the key.
 
     Examples
     --------
@@ -35,11 +35,11 @@
 
 
 def _scores(key: bytes) -> Callable[[str], bytes]:
-    """Return what gives a name's score; the key is taken in once."""
-    keyed = hashlib.blake2b(key=key, digest_size=_DIGEST_BYTES)
+    """Return the function that scores names; it hashes the key only once."""
+    key_hash = hashlib.blake2b(key=key, digest_size=_DIGEST_BYTES)
 
     def score(name: str) -> bytes:
-        digest = keyed.copy()
+        digest = key_hash.copy()
         digest.update(name.encode())
         return digest.digest()
 
--- a/toucanrudder/placement/tests/test_placement.py
+++ b/toucanrudder/placement/tests/test_placement.py
@@ -5,7 +5,7 @@
 from toucanrudder import errors
 from toucanrudder.document import model
 from toucanrudder.messages import request
-from toucanrudder.placement import homes
+from toucanrudder.placement import affinity
 from toucanrudder.placement import imports
 from toucanrudder.placement import policies
 from toucanrudder.placement import rendezvous
@@ -42,39 +42,41 @@
     )
 
 
-def place(view, asked=None, chosen_by="toucanrudder", **fields):
+def place(view, requested=None, policy="toucanrudder", **fields):
     return policies.decide(
-        policies.by_name(chosen_by),
+        policies.by_name(policy),
         view,
-        asked or query(),
+        requested or query(),
         context(**fields),
         NOW_S,
     )
 
 
-OWNERS = rendezvous.ranked(KEYS[0], ["a", "b", "c"])
-HOME, OTHER, LAST = OWNERS
+RANKED = rendezvous.ranked(KEYS[0], ["a", "b", "c"])
+PREFERRED, OTHER, LAST = RANKED
 
 CASES = {
-    "cached engine wins": (
-        [engine(HOME), engine(OTHER, expected_cached_tokens=6000)],
+    "cached engine is chosen": (
+        [engine(PREFERRED), engine(OTHER, expected_cached_tokens=6000)],
         {},
         OTHER,
     ),
-    "cached engine with a long queue loses": (
+    "cached engine with a long queue is not chosen": (
         [
             engine(
-                HOME, expected_cached_tokens=6000, queued_prefill_tokens=50000
+                PREFERRED,
+                expected_cached_tokens=6000,
+                queued_prefill_tokens=50000,
             ),
             engine(OTHER),
         ],
         {},
         OTHER,
     ),
-    "old report of a long queue no longer counts": (
+    "reported queue shrinks as the report ages": (
         [
             engine(
-                HOME,
+                PREFERRED,
                 expected_cached_tokens=6000,
                 queued_prefill_tokens=50000,
                 reported_at_s=NOW_S - 4.9,
@@ -82,43 +84,51 @@
             engine(OTHER),
         ],
         {},
-        HOME,
+        PREFERRED,
     ),
-    "reported idle, but own work is under way": (
-        [engine(HOME, own_prefill_tokens=50000), engine(OTHER)],
+    "reported idle, but own requests are in flight": (
+        [engine(PREFERRED, own_prefill_tokens=50000), engine(OTHER)],
         {},
         OTHER,
     ),
-    "reported idle, but peers' work is under way": (
-        [engine(HOME, peer_prefill_tokens=50000), engine(OTHER)],
+    "reported idle, but peers' requests are in flight": (
+        [engine(PREFERRED, peer_prefill_tokens=50000), engine(OTHER)],
         {},
         OTHER,
     ),
     "no free slot": (
-        [engine(HOME, running=8, waiting=16), engine(OTHER)],
+        [engine(PREFERRED, running=8, waiting=16), engine(OTHER)],
         {},
         OTHER,
     ),
-    "cold prompt goes home": ([engine(HOME), engine(OTHER)], {}, HOME),
-    "home excluded by a retry": (
-        [engine(HOME), engine(OTHER), engine(LAST)],
-        {"excluded": (HOME,)},
+    "uncached prompt goes to the preferred engine": (
+        [engine(PREFERRED), engine(OTHER)],
+        {},
+        PREFERRED,
+    ),
+    "preferred engine excluded by a retry": (
+        [engine(PREFERRED), engine(OTHER), engine(LAST)],
+        {"excluded": (PREFERRED,)},
         OTHER,
     ),
-    "hit rate weighed more": (
+    "higher weight of recomputation": (
         [
             engine(
-                HOME, expected_cached_tokens=6000, queued_prefill_tokens=8000
+                PREFERRED,
+                expected_cached_tokens=6000,
+                queued_prefill_tokens=8000,
             ),
             engine(OTHER),
         ],
         {"recompute_weight": 3.0},
-        HOME,
+        PREFERRED,
     ),
-    "waiting weighed more": (
+    "higher weight of waiting": (
         [
             engine(
-                HOME, expected_cached_tokens=6000, queued_prefill_tokens=8000
+                PREFERRED,
+                expected_cached_tokens=6000,
+                queued_prefill_tokens=8000,
             ),
             engine(OTHER),
         ],
@@ -131,44 +141,44 @@
 @pytest.mark.parametrize(
     ("engines", "fields", "expected"), CASES.values(), ids=CASES
 )
-def test_choice(engines, fields, expected):
+def test_chosen_engine(engines, fields, expected):
     for seed in range(20):
         decision = place(fleet(*engines), seed=seed, **fields)
         assert decision.upstream == expected
 
 
-def test_decision_names_the_incarnation_it_relied_on():
+def test_decision_holds_the_incarnation_it_was_made_for():
     decision = place(fleet(engine("a", expected_cached_tokens=4000)))
     assert decision.incarnation == "a-1"
     assert decision.expected_hit_tokens == 4000
 
 
 @pytest.mark.parametrize("name", sorted(policies._BY_NAME))
-def test_same_seed_same_decisions(name):
-    view = fleet(*(engine(each) for each in "abcde"))
+def test_equal_seeds_give_equal_decisions(name):
+    view = fleet(*(engine(letter) for letter in "abcde"))
     runs = [
-        [place(view, chosen_by=name, seed=seed) for seed in range(10)]
+        [place(view, policy=name, seed=seed) for seed in range(10)]
         for _run in range(2)
     ]
     assert runs[0] == runs[1]
 
 
 @pytest.mark.parametrize("name", sorted(policies._BY_NAME))
-def test_no_engine_is_a_refusal_that_says_when_to_come_back(name):
+def test_refusal_without_an_engine_has_a_retry_delay(name):
     with pytest.raises(errors.RudderError) as caught:
-        place(fleet(engine("a")), chosen_by=name, excluded=("a",))
+        place(fleet(engine("a")), policy=name, excluded=("a",))
     assert caught.value.code is errors.Code.NO_UPSTREAM
     assert caught.value.ran is errors.Ran.NOT_RUN
     assert caught.value.retry_after_s
 
 
-def test_deadline_that_no_engine_meets_is_refused_at_once():
-    """All engines have a queue longer than the caller will wait.
+def test_deadline_that_no_engine_can_meet_is_refused_at_once():
+    """All engines have queues longer than the request's deadline.
 
-    The caller must hear at once, with when to come back, instead of
-    waiting for an answer that will be too late and delaying others.
+    The caller must be refused at once, with a retry delay.  A queued request
+    would be answered too late and would delay others.
     """
-    engines = [engine(each, queued_prefill_tokens=50000) for each in "ab"]
+    engines = [engine(name, queued_prefill_tokens=50000) for name in "ab"]
     with pytest.raises(errors.RudderError) as caught:
         place(fleet(*engines), query(deadline_s=NOW_S + 1))
     assert caught.value.code is errors.Code.DEADLINE_UNMET
@@ -176,13 +186,13 @@
     assert caught.value.retry_after_s == pytest.approx(4.6, abs=0.1)
 
 
-def test_prompts_without_a_full_block_do_not_herd():
+def test_prompts_without_a_full_block_are_spread_over_equal_engines():
     """Eight routers see the same idle engines and many short prompts.
 
-    With one rule for breaking ties all would choose the same engine until
-    the next load report.
+    If ties were broken by a fixed rule, all routers would choose the same
+    engine until the next load report.
     """
-    view = fleet(*(engine(each) for each in "abcde"))
+    view = fleet(*(engine(name) for name in "abcde"))
     chosen = {
         place(view, query((), 100), seed=seed).upstream for seed in range(50)
     }
@@ -192,25 +202,27 @@
 @pytest.mark.parametrize(
     ("share", "engines"), [(0.0, 1), (0.1, 1), (0.4, 4), (1.0, 8)]
 )
-def test_hot_prefix_spreads_and_shrinks_with_its_share(share, engines):
+def test_engines_of_a_prefix_follow_its_share_of_requests(share, engines):
     names = "abcdefgh"
     view = fleet(
-        *(engine(each) for each in names),
-        heat={b"project": share * 50},
+        *(engine(name) for name in names),
+        prefix_rates={b"project": share * 50},
         total_rate_per_s=50.0,
     )
-    assert len(homes.homes(view, query((b"project",)))) == engines
+    assert (
+        len(affinity.preferred_engines(view, query((b"project",)))) == engines
+    )
 
 
-def test_homes_of_a_project_are_among_those_of_its_preamble():
+def test_engines_of_a_project_are_among_those_of_its_preamble():
     names = "abcdefgh"
     view = fleet(
-        *(engine(each) for each in names),
-        heat={b"preamble": 20.0, b"project": 8.0},
+        *(engine(name) for name in names),
+        prefix_rates={b"preamble": 20.0, b"project": 8.0},
         total_rate_per_s=50.0,
     )
-    outer = homes.homes(view, query((b"preamble",)))
-    inner = homes.homes(view, query((b"preamble", b"project")))
+    outer = affinity.preferred_engines(view, query((b"preamble",)))
+    inner = affinity.preferred_engines(view, query((b"preamble", b"project")))
     assert len(outer) == 4
     assert len(inner) == 2
     assert set(inner) < set(outer)
@@ -221,8 +233,8 @@
     for number in range(100):
         key = b"%d" % number
         before = rendezvous.ranked(key, names)
-        after = rendezvous.ranked(key, [each for each in names if each != "c"])
-        assert after == [each for each in before if each != "c"]
+        after = rendezvous.ranked(key, [name for name in names if name != "c"])
+        assert after == [name for name in before if name != "c"]
 
 
 @pytest.mark.parametrize(
@@ -234,14 +246,14 @@
         ({"queued_prefill_tokens": 8000, "own_prefill_tokens": 5000}, 8000),
         ({"own_prefill_tokens": 5000, "peer_prefill_tokens": 100}, 5100),
     ],
-    ids=["fresh", "worked-off", "too-old", "not-twice", "not-yet-reported"],
+    ids=["fresh", "aged", "too-old", "not-counted-twice", "not-yet-reported"],
 )
-def test_queue_is_estimated_from_late_reports(fields, tokens):
+def test_queue_is_estimated_from_lagging_reports(fields, tokens):
     assert waiting.queued_tokens(engine("a", **fields), NOW_S) == tokens
 
 
 @pytest.mark.parametrize(
-    ("held", "kept", "blocks"),
+    ("cached_tokens", "stored_keys", "blocks"),
     [
         (0, KEYS, KEYS),
         (2000, KEYS, KEYS[1:]),
@@ -250,18 +262,27 @@
         (6000, KEYS, None),
         (0, (), None),
     ],
-    ids=["cold", "partly", "hole", "no-start", "all-held", "none-kept"],
+    ids=[
+        "none-cached",
+        "partly-cached",
+        "gap",
+        "no-start",
+        "all-cached",
+        "none-stored",
+    ],
 )
-def test_import_takes_an_unbroken_run(held, kept, blocks):
-    order = imports.plan_import(
-        engine("a", expected_cached_tokens=held),
+def test_import_ends_at_the_first_missing_block(
+    cached_tokens, stored_keys, blocks
+):
+    planned = imports.plan_import(
+        engine("a", expected_cached_tokens=cached_tokens),
         query(),
-        kept,
+        stored_keys,
         imports.ImportCost(),
     )
-    assert (order.blocks if order else None) == blocks
+    assert (planned.blocks if planned else None) == blocks
 
 
-def test_import_slower_than_recompute_is_left():
+def test_no_import_that_is_slower_than_recomputation():
     slow = imports.ImportCost(start_s=0.1, tokens_per_s=9000.0)
     assert imports.plan_import(engine("a"), query(), KEYS, slow) is None
--- a/toucanrudder/placement/types.py
+++ b/toucanrudder/placement/types.py
@@ -1,4 +1,4 @@
-"""What a placement decision is made from, and the decision itself."""
+"""Inputs and result of a placement decision."""
 
 from collections.abc import Mapping
 import random
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class UpstreamView:
-    """What this router knows of one engine that may be chosen.
+    """State of one candidate engine, as this router knows it.
 
     Parameters
     ----------
@@ -20,35 +20,35 @@
     incarnation : str
         Identity of the engine's process; changes with a cold start.
     weights_version : str
-        Weights that it has reported for the request's model.
+        Version of the weights that it has reported for the request's model.
     slots : int
-        Requests it runs at once.
+        Requests that it runs concurrently.
     running, waiting : int
-        As last reported.
+        Requests, as last reported.
     queued_prefill_tokens : int
-        Prompt tokens it has still to compute, as last reported.
+        Prompt tokens still to be computed, as last reported.
     prefill_tokens_per_s : float
         Speed of prefill, as last reported.
     reported_at_s : float
         Monotonic time at which the report arrived.
     own_in_flight : int
-        Requests of this router that are there now.
+        Requests of this router in flight there.
     own_prefill_tokens : int
-        Tokens this router expects to be computed there for its requests
-        that have given no first token yet.
+        Tokens expected to be computed there for this router's requests
+        that have produced no first token yet.
     peer_prefill_tokens : int
-        The same as told by the other routers.
+        The same for the other routers, as they report it.
     ahead_share : float
-        Part of the queued work that goes before the request, being of its
-        own class or a more urgent one.
+        Fraction of the queued work that runs before the request, being of
+        the same or a more urgent priority class.
     peer_in_flight : int
-        Requests of the other routers that are there, as they told.
+        Requests of the other routers in flight there, as they report them.
     expected_cached_tokens : int
-        Leading prompt tokens believed cached there, at this incarnation,
+        Leading prompt tokens expected in its cache, at this incarnation,
         for this organisation and these weights.
     computed_share : float
-        Part of the prompt tokens that it computed of late, the rest having
-        been cached; load reports count whole prompts.
+        Recent fraction of prompt tokens that it had to compute, the rest
+        having been cached; load reports count whole prompts.
     """
 
     name: str
@@ -72,45 +72,45 @@
 
 @attrs.frozen
 class FleetView:
-    """The engines that may be chosen, and where this router stands.
+    """The candidate engines, and the traffic over all routers.
 
     Parameters
     ----------
     upstreams : tuple of UpstreamView
-        Live, undrained engines with the right weights, by name.
+        Live, undrained engines with the required weights, by name.
     zone : str
         Availability zone of this router.
     routers : int
         Live routers, this one included.
-    heat : mapping of bytes to float
-        Requests a second seen for a prefix key, over all routers.
+    prefix_rates : mapping of bytes to float
+        Requests a second by prefix key, over all routers.
     total_rate_per_s : float
-        Requests a second of any prefix, over all routers; 0 if unknown.
+        Requests a second with any prefix, over all routers; 0 if unknown.
     """
 
     upstreams: tuple[UpstreamView, ...]
     zone: str = ""
     routers: int = 1
-    heat: Mapping[bytes, float] = attrs.field(factory=dict)
+    prefix_rates: Mapping[bytes, float] = attrs.field(factory=dict)
     total_rate_per_s: float = 0.0
 
 
 @attrs.frozen
 class Decision:
-    """Where the request goes, and why.
+    """The engine chosen for a request, and the reason.
 
     Parameters
     ----------
     upstream : str
         Name of the engine.
     incarnation : str
-        Incarnation that the decision relied on.
+        Incarnation for which the decision was made.
     expected_hit_tokens : int
-        Prompt tokens expected to come from its cache.
+        Prompt tokens expected to be served from its cache.
     expected_wait_s : float
         Expected seconds until prefill starts.
     reason : str
-        Short word for metrics.
+        Label for metrics.
     """
 
     upstream: str
@@ -122,16 +122,16 @@
 
 @attrs.frozen
 class Context:
-    """What a policy may use besides the fleet and the request.
+    """Inputs of a policy besides the fleet and the request.
 
     Parameters
     ----------
     policy : model.Policy
         Trade-offs set by the operators.
     rng : random.Random
-        Source of tie-breaking randomness, seeded by the daemon.
+        Generator that breaks ties, seeded by the daemon.
     excluded : frozenset of str
-        Upstreams not to use, for example those a retry has tried.
+        Upstreams not to choose, for example those already tried.
     """
 
     policy: model.Policy
@@ -141,7 +141,7 @@
 
 @attrs.frozen
 class Query:
-    """The part of a request that placement looks at.
+    """The properties of a request that placement depends on.
 
     Parameters
     ----------
--- a/toucanrudder/router/fleet.py
+++ b/toucanrudder/router/fleet.py
@@ -78,7 +78,7 @@
             upstreams=views,
             zone=self._zone,
             routers=routers,
-            heat=self._heat.rates(keys, now_s),
+            prefix_rates=self._heat.rates(keys, now_s),
             total_rate_per_s=self._heat.total_rate_per_s(now_s),
         )
         # Ties fall alike on all routers for equal bodies.  Copies of a
