--- a/toucanrudder/admission/__init__.py
+++ b/toucanrudder/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Who goes first, and who is refused at once."""
+"""Admission control: queueing, rate limits and usage caps."""
 
 from toucanrudder.admission.limits import RateLimiter
 from toucanrudder.admission.queue import AdmissionQueue
--- a/toucanrudder/admission/caps.py
+++ b/toucanrudder/admission/caps.py
@@ -1,19 +1,19 @@
-"""Usage caps of organisations, kept by all routers together.  No I/O.
-
-Load it answers: one organisation sends many times its usual for seconds,
-over tens to hundreds of routers, with requests of which one alone can be
-larger than a router's equal share of the cap.  So a cap is not split among
-all: for each organisation two routers, its owners, keep a balance of half
-of it each, and the others ask them for each request.  If one owner is lost,
-the other still gives out its half.
-
-Promise, over any window of the length W, for a cap of R a second and a
-burst B, with the overrun O and the slack S: the two owners grant at most
-``(R * W + B) * (1 + O / 2) + S``, of which ``S / 2`` each is what one
-request may overdraw.  An owner that follows another begins without a
-burst.  What all routers together admit while no owner can be asked is
-``(R * W + B) * O / 2`` on average, and more in the second after the start
-of a whole fleet (`START_SHARE`).
+"""Usage caps of organisations, enforced over all routers.  No I/O.
+
+An organisation may send many times its usual load for seconds, over tens to
+hundreds of routers, and a single request may be larger than a router's
+equal share of the cap.  A cap is therefore not divided among all routers:
+for each organisation two routers, its owners, keep a token bucket with half
+of the cap each, and the others ask them for each request.  If one owner is
+lost, the other still grants its half.
+
+Guarantee over any window of length W, for a cap of R units a second and a
+burst B, with the overrun O and the slack S: the two owners together grant
+at most ``(R * W + B) * (1 + O / 2) + S``, where ``S / 2`` is the amount by
+which one request may overdraw each owner's bucket.  A new owner begins
+without a burst.  While no owner can be reached, all routers together admit
+``(R * W + B) * O / 2`` on average, and more in the second after the start of
+a whole fleet (`START_SHARE`).
 """
 
 import enum
@@ -23,35 +23,36 @@
 import attrs
 import cachetools
 
-#: Organisations whose balances are kept at once, least recently used first.
+#: Most organisations with a bucket; the least recently used is evicted.
 MAX_ORGANISATIONS = 10_000
 
-#: Routers that keep a balance of each organisation.
+#: Routers that keep a bucket for each organisation.
 OWNER_COUNT = 2
 
-#: Part of the overrun that owners grant.  The rest is for routers that can
-#: ask none.
+#: Fraction of the overrun that owners grant.  The rest is for routers that
+#: can reach no owner.
 GRANTED_OVERRUN = 0.5
 
-#: Longest time after which a refused request is told to come back.
-LONGEST_WAIT_S = 10.0
+#: Longest retry delay of a refused request.
+MAX_WAIT_S = 10.0
 
-#: Part of the debt up to which a request counts as one of the smallest, and
-#: by which these may overdraw a balance beside.
-SMALL_SHARE = 0.005
-SMALL_DEBT_SHARE = 0.25
+#: A request is small up to this fraction of the permitted overdraft.
+SMALL_COST_SHARE = 0.005
+#: Fraction of the permitted overdraft by which small requests may overdraw a
+#: bucket that is already empty.
+SMALL_OVERDRAFT_SHARE = 0.25
 
-#: About how long a request stays away that was refused since no owner could
-#: be asked: another router may be able to.
-SHARE_WAIT_S = 1.0
+#: Approximate retry delay of a request refused while no owner can be
+#: reached: another router may reach one.
+RESERVE_RETRY_S = 1.0
 
-#: Part of a cap that routers admit in one window, all together, while the
-#: fleet starts and nobody knows yet who the owners are.
+#: Fraction of a cap that all routers together admit in one window while the
+#: fleet starts and the owners are not known yet.
 START_SHARE = 0.35
 
 
 class Unit(enum.Enum):
-    """What a cap counts."""
+    """The unit in which a cap is counted."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
@@ -59,18 +60,18 @@
 
 @attrs.frozen
 class Cap:
-    """What an organisation may use, over all routers.
+    """The usage permitted to an organisation over all routers.
 
     Parameters
     ----------
     rate_per_s : float
         Units a second.
     burst : float
-        Units beside, at once.
+        Units in addition, at once.
     unit : Unit
-        What is counted.
+        The unit that is counted.
     plain_tokens : int
-        Cost of a request that tells no tokens.
+        Cost in tokens of a request without a token count.
 
     Examples
     --------
@@ -85,12 +86,12 @@
     plain_tokens: int = 0
 
     def cost(self, tokens: int | None) -> float:
-        """Return the cost of a request.
+        """Return the cost of a request in the cap's unit.
 
         Parameters
         ----------
         tokens : int or None
-            In and out, as the caller counted them; None if he did not.
+            Prompt and output tokens as the caller counted them, or None.
         """
         if self.unit is Unit.REQUESTS:
             return 1
@@ -99,16 +100,16 @@
 
 @attrs.frozen
 class Bounds:
-    """How exactly caps are kept, over all routers.
+    """The tolerances within which caps are enforced over all routers.
 
     Parameters
     ----------
     window_s : float
-        Length of the window in which usage counts.
+        Length of the window over which usage is counted.
     slack : float
-        Units that may pass beyond a cap in one window.
+        Units by which a cap may be exceeded in one window.
     overrun : float
-        Part of a cap that may pass beside.
+        Fraction of a cap by which it may be exceeded in addition.
     """
 
     window_s: float = 10.0
@@ -117,54 +118,54 @@
 
     @property
     def max_overdraft(self) -> float:
-        """Units by which one request may overdraw an owner's half."""
+        """Units by which one request may overdraw an owner's bucket."""
         return self.slack / OWNER_COUNT
 
     def window_allowance(self, cap: Cap) -> float:
-        """Return what a cap admits in one window."""
+        """Return the units that a cap permits in one window."""
         return cap.rate_per_s * self.window_s + cap.burst
 
     def burst(self, cap: Cap) -> float:
-        """Return what owners grant at once, together."""
+        """Return the units that the owners together grant at once."""
         return (
             cap.burst
             + GRANTED_OVERRUN * self.overrun * self.window_allowance(cap)
         )
 
     def reserve(self, cap: Cap) -> float:
-        """Return what routers that can ask no owner admit, together."""
+        """Return the units of all routers that can reach no owner."""
         return (
             (1.0 - GRANTED_OVERRUN) * self.overrun * self.window_allowance(cap)
         )
 
     def start_reserve(self, cap: Cap) -> float:
-        """Return the same for a fleet that starts."""
+        """Return the same while the fleet starts."""
         return START_SHARE * self.window_allowance(cap)
 
     def window_limit(self, cap: Cap) -> float:
-        """Return what may pass in one window, over all routers."""
+        """Return the most units in one window, tolerances included."""
         return (1.0 + self.overrun) * self.window_allowance(cap) + self.slack
 
 
 class Outcome(enum.Enum):
-    """What was decided on a request."""
+    """The outcome of a decision on a request."""
 
     GRANTED = "granted"
     REFUSED = "refused"
-    #: It costs more than the cap can ever admit.
+    #: The request costs more than the cap permits in a whole window.
     TOO_LARGE = "too_large"
 
 
 @attrs.frozen
 class Decision:
-    """Whether a request may be sent.
+    """The decision whether a request may be sent.
 
     Parameters
     ----------
     outcome : Outcome
-        What was decided.
+        The outcome.
     wait_s : float
-        After which time there may be room; 0 unless it was refused.
+        Seconds until a retry may be granted; 0 unless it was refused.
     """
 
     outcome: Outcome
@@ -177,12 +178,12 @@
 
 @attrs.define
 class TokenBucket:
-    """What an organisation may use now, filled up at a steady rate.
+    """A token bucket that one request may overdraw.
 
-    A request passes unless the balance is overdrawn, whatever it costs, and
-    may overdraw it: otherwise small requests would use up all that comes in,
-    and large ones would never find enough.  The smallest pass a little
-    longer, as they cost others next to nothing.
+    A request is granted unless the bucket is overdrawn, whatever the request
+    costs, and may overdraw it.  Otherwise small requests would use up each
+    refill, and large ones would never find enough units.  Small requests are
+    granted a little longer, as they cost others almost nothing.
 
     Parameters
     ----------
@@ -190,8 +191,8 @@
         Units left; negative while it is overdrawn.
     at_s : float
         Monotonic time of the level.
-    turn_s : float
-        When the last refused request was told to come back.
+    next_retry_s : float
+        Monotonic time at which the next refused request may retry.
 
     Examples
     --------
@@ -205,119 +206,119 @@
 
     level: float
     at_s: float
-    turn_s: float = float("-inf")
+    next_retry_s: float = float("-inf")
 
     def refill(self, limits: "Limits", now_s: float) -> None:
-        """Add what has come in since the last time."""
-        passed_s = max(0.0, now_s - self.at_s)
+        """Add the units for the time since the last refill."""
+        elapsed_s = max(0.0, now_s - self.at_s)
         self.at_s = max(self.at_s, now_s)
-        gained = passed_s * limits.rate_per_s
+        gained = elapsed_s * limits.rate_per_s
         self.level = min(limits.max_units, self.level + gained)
 
     def try_spend(
         self, cost: float, limits: "Limits", now_s: float
     ) -> Decision:
-        """Decide on a request, and count it if it may be sent.
+        """Decide on a request, and deduct its cost if it is granted.
 
         Parameters
         ----------
         cost : float
-            Of the request.
+            Cost of the request.
         limits : Limits
-            In force now.
+            Limits of the bucket.
         now_s : float
             Monotonic time.
         """
         self.refill(limits, now_s)
-        least = limits.least(cost)
-        if self.level >= least or cost == 0:
+        min_level = limits.min_level(cost)
+        if self.level >= min_level or cost == 0:
             self.level -= cost
             return GRANTED
-        return self._refused(cost, least, limits, now_s)
+        return self._refuse(cost, min_level, limits, now_s)
 
-    def _refused(
-        self, cost: float, least: float, limits: "Limits", now_s: float
+    def _refuse(
+        self, cost: float, min_level: float, limits: "Limits", now_s: float
     ) -> Decision:
-        """Say when there is room, one refused request after the other."""
-        latest_s = now_s + LONGEST_WAIT_S
+        """Refuse a request, with a retry after those refused before it."""
+        latest_s = now_s + MAX_WAIT_S
         if limits.rate_per_s <= 0:
-            return Decision(Outcome.REFUSED, LONGEST_WAIT_S)
-        free_s = now_s + (least - self.level) / limits.rate_per_s
-        turn_s = min(max(free_s, self.turn_s), latest_s)
-        self.turn_s = min(turn_s + cost / limits.rate_per_s, latest_s)
-        return Decision(Outcome.REFUSED, round(turn_s - now_s, 3))
+            return Decision(Outcome.REFUSED, MAX_WAIT_S)
+        refilled_s = now_s + (min_level - self.level) / limits.rate_per_s
+        retry_s = min(max(refilled_s, self.next_retry_s), latest_s)
+        self.next_retry_s = min(retry_s + cost / limits.rate_per_s, latest_s)
+        return Decision(Outcome.REFUSED, round(retry_s - now_s, 3))
 
 
 @attrs.frozen
 class Limits:
-    """What one router gives out of a cap.
+    """The limits of one token bucket.
 
     Parameters
     ----------
     rate_per_s : float
         Units a second.
     max_units : float
-        Units at once.
+        Capacity in units.
     max_overdraft : float
-        Units by which one request may overdraw a balance.
+        Units by which one request may overdraw the bucket.
     """
 
     rate_per_s: float
     max_units: float
     max_overdraft: float = 0.0
 
-    def least(self, cost: float) -> float:
-        """Return the least balance with which a request passes."""
-        if cost <= SMALL_SHARE * self.max_overdraft:
-            return -SMALL_DEBT_SHARE * self.max_overdraft
+    def min_level(self, cost: float) -> float:
+        """Return the level from which a request of that cost is granted."""
+        if cost <= SMALL_COST_SHARE * self.max_overdraft:
+            return -SMALL_OVERDRAFT_SHARE * self.max_overdraft
         return max(0.0, min(cost, self.max_units) - self.max_overdraft)
 
 
 class Ledger:
-    """The balances that this router owns, or its part of them.
+    """The token buckets of the organisations that this router owns.
 
     Parameters
     ----------
     bounds : Bounds
-        How exactly caps are kept.
+        Tolerances of the caps.
 
     Examples
     --------
     >>> ledger = Ledger(Bounds(8.0))
     >>> cap = Cap(10.0, 20.0)
     >>> ledger.set_owner_since(0.0)
-    >>> taken = [ledger.try_spend("north", cap, 1, 5.0) for _ in range(21)]
-    >>> [each.outcome.value for each in taken[-2:]]
+    >>> decided = [ledger.try_spend("north", cap, 1, 5.0) for _ in range(21)]
+    >>> [decision.outcome.value for decision in decided[-2:]]
     ['granted', 'refused']
     """
 
     def __init__(self, bounds: Bounds):
         self.bounds = bounds
-        self._balances = cachetools.LRUCache(MAX_ORGANISATIONS)
-        self._since_s = float("inf")
+        self._buckets = cachetools.LRUCache(MAX_ORGANISATIONS)
+        self._owner_since_s = float("inf")
 
     def set_owner_since(self, since_s: float) -> None:
-        """Note from when on this router may have been an owner."""
-        self._since_s = since_s
+        """Set the time from which this router may have been an owner."""
+        self._owner_since_s = since_s
 
     def organisations(self) -> list[str]:
-        """Return the organisations of which a balance is kept."""
-        return list(self._balances)
+        """Return the organisations that have a bucket."""
+        return list(self._buckets)
 
     def drop(self, name: str) -> None:
-        """Forget the balance of an organisation that others own now."""
-        self._balances.pop(name, None)
+        """Drop the bucket of an organisation that others own now."""
+        self._buckets.pop(name, None)
 
     def restart_empty(self, now_s: float) -> None:
-        """Let all balances begin anew, without a burst.
+        """Restart all buckets without a burst.
 
-        Failure: an owner is frozen, and another takes its place.  Symptom:
-        it wakes with full balances, and grants a second burst.
+        An owner whose process was frozen has been replaced meanwhile.  With
+        full buckets it would grant a second burst when it continues.
         """
-        self._since_s = now_s
-        for balance in self._balances.values():
-            balance.level = min(balance.level, 0.0)
-            balance.at_s = now_s
+        self._owner_since_s = now_s
+        for bucket in self._buckets.values():
+            bucket.level = min(bucket.level, 0.0)
+            bucket.at_s = now_s
 
     def try_spend(
         self,
@@ -333,15 +334,15 @@
         Parameters
         ----------
         name : str
-            Of the organisation.
+            Name of the organisation.
         cap : Cap
-            In force.
+            Cap of the organisation.
         cost : float
-            In the cap's unit.
+            Cost of the request in the cap's unit.
         now_s : float
             Monotonic time.
         share : float
-            Part of the cap that is given out here.
+            Fraction of the cap that this router grants.
         """
         if cost > self.bounds.window_allowance(cap):
             return TOO_LARGE
@@ -350,47 +351,45 @@
             share * self.bounds.burst(cap),
             self.bounds.max_overdraft,
         )
-        return self._balance(name, limits, now_s).try_spend(
-            cost, limits, now_s
-        )
+        return self._bucket(name, limits, now_s).try_spend(cost, limits, now_s)
 
     def charge(self, name: str, units: float) -> None:
-        """Count units beside, if a balance is kept here.
+        """Deduct units used without a grant, if the organisation has a bucket.
 
-        Negative ones were granted, and not used.
+        Negative units are returned: they were granted and not used.
         """
-        balance = self._balances.get(name)
-        if balance is not None:
-            balance.level -= units
-
-    def _balance(self, name: str, limits: Limits, now_s: float) -> TokenBucket:
-        found = self._balances.get(name)
-        if found is None:
-            owned_s = max(0.0, now_s - self._since_s)
+        bucket = self._buckets.get(name)
+        if bucket is not None:
+            bucket.level -= units
+
+    def _bucket(self, name: str, limits: Limits, now_s: float) -> TokenBucket:
+        bucket = self._buckets.get(name)
+        if bucket is None:
+            owned_s = max(0.0, now_s - self._owner_since_s)
             level = min(limits.max_units, owned_s * limits.rate_per_s)
-            found = self._balances[name] = TokenBucket(level, now_s)
-        return found
+            bucket = self._buckets[name] = TokenBucket(level, now_s)
+        return bucket
 
 
 @attrs.define
 class ReserveLimiter:
-    """What a router admits by itself while no owner can be asked.
+    """Decisions of a router by itself while it can reach no owner.
 
-    A share is often smaller than one request.  What lies above it passes in
-    proportion to what is left of it, so that together the routers admit as
-    much as the reserve allows on average.
+    A router's share of the reserve is often smaller than one request.  A
+    request above what is left is granted with a probability proportional to
+    what is left, so that all routers together admit the reserve on average.
 
     Parameters
     ----------
     bounds : Bounds
-        How exactly caps are kept.
+        Tolerances of the caps.
     rng : random.Random
-        Draws what passes.
+        Generator that decides on requests larger than what is left.
     """
 
     bounds: Bounds
     rng: random.Random
-    _balances: cachetools.LRUCache = attrs.field(
+    _buckets: cachetools.LRUCache = attrs.field(
         factory=lambda: cachetools.LRUCache(MAX_ORGANISATIONS)
     )
 
@@ -408,11 +407,11 @@
         Parameters
         ----------
         name : str
-            Of the organisation.
+            Name of the organisation.
         cap : Cap
-            In force.
+            Cap of the organisation.
         cost : float
-            In the cap's unit.
+            Cost of the request in the cap's unit.
         now_s : float
             Monotonic time.
         max_units : float
@@ -420,33 +419,33 @@
         """
         if cost > self.bounds.window_allowance(cap):
             return TOO_LARGE
-        # Half at once, and half over the window, make the whole.
+        # Half at once and half over the window add up to the share.
         limits = Limits(max_units / 2 / self.bounds.window_s, max_units / 2)
-        balance = self._balances.get(name)
-        if balance is None:
-            balance = TokenBucket(limits.max_units, now_s)
-            self._balances[name] = balance
-        balance.refill(limits, now_s)
-        if balance.level > cost * self.rng.random():
-            balance.level -= cost
+        bucket = self._buckets.get(name)
+        if bucket is None:
+            bucket = TokenBucket(limits.max_units, now_s)
+            self._buckets[name] = bucket
+        bucket.refill(limits, now_s)
+        if bucket.level > cost * self.rng.random():
+            bucket.level -= cost
             return GRANTED
-        wait_s = SHARE_WAIT_S * self.rng.uniform(0.7, 1.3)
+        wait_s = RESERVE_RETRY_S * self.rng.uniform(0.7, 1.3)
         return Decision(Outcome.REFUSED, round(wait_s, 3))
 
 
 @attrs.define
 class FleetSize:
-    """How much of the fleet is there, of what there was lately.
+    """The fraction of the recent routers that are still live.
 
-    Failure: a fleet is cut in two, and each half counts the other as gone.
-    Symptom: both have an owner that gives out the whole cap.  So an owner
-    gives out only the share of those that it sees, as long as those that
-    are missing may still be admitting.
+    When a network partition splits the fleet, each side counts the routers
+    of the other as gone and has an owner that would grant the whole cap.  An
+    owner therefore grants only the fraction of the routers that it sees, for
+    as long as the missing ones may still admit requests.
 
     Parameters
     ----------
     kept_s : float
-        For how long routers that have gone silent count.
+        Seconds for which a router still counts after its last heartbeat.
 
     Examples
     --------
@@ -456,19 +455,19 @@
     """
 
     kept_s: float
-    _most: list[tuple[float, int]] = attrs.field(factory=list)
+    _counts: list[tuple[float, int]] = attrs.field(factory=list)
 
     def share(self, live: int, now_s: float) -> float:
-        """Return the part of the fleet that is live."""
-        self._most = [
-            (at_s, number)
-            for at_s, number in self._most
-            if now_s - at_s < self.kept_s and number > live
+        """Return the fraction of the recent routers that are live."""
+        self._counts = [
+            (at_s, count)
+            for at_s, count in self._counts
+            if now_s - at_s < self.kept_s and count > live
         ]
-        self._most.append((now_s, live))
-        return live / max(number for _, number in self._most)
+        self._counts.append((now_s, live))
+        return live / max(count for _, count in self._counts)
 
 
 def is_finite(units: float) -> bool:
-    """Return whether a router's word on units can be true."""
+    """Whether a number received from another router is finite."""
     return math.isfinite(units)
--- a/toucanrudder/admission/fair.py
+++ b/toucanrudder/admission/fair.py
@@ -1,4 +1,4 @@
-"""The order in which waiting requests are served.  No I/O."""
+"""Fair queueing of waiting requests.  No I/O."""
 
 import itertools
 
@@ -7,7 +7,10 @@
 
 from toucanrudder.messages import request
 
+#: Requests of service by which a lane counts as ahead for each step of lower
+#: priority of its next request.
 CLASS_LEAD = 16.0
+#: Seconds of waiting that outweigh one step of priority within a lane.
 AGEING_S = 5.0
 
 
@@ -18,15 +21,15 @@
     Parameters
     ----------
     organisation : str
-        Whose request it is.
+        Organisation that sent the request.
     weight : float
         The organisation's share relative to others.
     priority : request.Priority
-        Class.
+        Priority class.
     deadline_s : float
-        Time after which being served is of no use, monotonic.
+        Monotonic time after which serving it is useless.
     arrived_s : float
-        Time at which it began to wait, monotonic.
+        Monotonic time at which it began to wait.
     """
 
     organisation: str
@@ -39,8 +42,8 @@
     )
 
     @property
-    def due(self) -> tuple[float, int]:
-        """Order among the requests of one organisation."""
+    def order_key(self) -> tuple[float, int]:
+        """Sort key among the requests of one organisation."""
         return (
             self.arrived_s + self.priority * AGEING_S,
             self._sequence,
@@ -49,12 +52,14 @@
 
 @attrs.define(eq=False)
 class _Lane:
-    """One organisation's waiting requests and the service it has had."""
+    """One organisation's waiting requests and the service it has received."""
 
     name: str
     served: float
     entries: sortedcontainers.SortedKeyList = attrs.field(
-        factory=lambda: sortedcontainers.SortedKeyList(key=lambda e: e.due)
+        factory=lambda: sortedcontainers.SortedKeyList(
+            key=lambda e: e.order_key
+        )
     )
     counts: list[int] = attrs.field(
         factory=lambda: [0] * len(request.Priority)
@@ -68,11 +73,11 @@
         self.entries.remove(entry)
         self.counts[entry.priority] -= 1
 
-    def up_to(self, priority: request.Priority) -> int:
+    def count_up_to(self, priority: request.Priority) -> int:
         return sum(self.counts[: priority + 1])
 
     @property
-    def order(self) -> tuple[float, str]:
+    def order_key(self) -> tuple[float, str]:
         return (
             self.served + self.entries[0].priority * CLASS_LEAD,
             self.name,
@@ -80,21 +85,22 @@
 
 
 class FairQueue:
-    """Priority classes within fair shares.
+    """A weighted fair queue with priority classes.
 
-    Each organisation has a lane with a tally of the service it has had,
-    divided by its weight.  The lane with the smallest tally goes next; a
-    less urgent class counts as `CLASS_LEAD` more requests served.  So:
+    Each organisation has a lane, with the service it has received divided
+    by its weight.  The lane with the least service is next; each step of
+    lower priority counts as `CLASS_LEAD` more requests served.  Therefore:
 
     * an organisation within its share has its urgent requests served
-      before anyone's less urgent ones;
-    * an organisation that floods, in whatever class, gets ahead of the
-      others by at most `CLASS_LEAD` requests per class, then its share;
-    * a waiting background request is reached when the others have been
-      served twice `CLASS_LEAD` requests beyond it: nothing starves.
+      before the less urgent ones of all others;
+    * an organisation that floods the queue, in whatever class, gets ahead
+      of the others by at most `CLASS_LEAD` requests per class, and then
+      gets its share;
+    * a waiting background request is served when the others have received
+      twice `CLASS_LEAD` requests more: no request starves.
 
-    Within a lane, a request goes ahead of a class `n` steps more urgent
-    when it arrived ``n * AGEING_S`` earlier.
+    Within a lane, a request is served before a class `n` steps more urgent
+    if it arrived ``n * AGEING_S`` seconds earlier.
 
     Examples
     --------
@@ -108,9 +114,9 @@
 
     def __init__(self):
         self._lanes: dict[str, _Lane] = {}
-        self._tallies: dict[str, float] = {}
-        self._order = sortedcontainers.SortedKeyList(key=lambda s: s.order)
-        self._clock = 0.0
+        self._idle_served: dict[str, float] = {}
+        self._order = sortedcontainers.SortedKeyList(key=lambda s: s.order_key)
+        self._virtual_time = 0.0
         self._length = 0
 
     def __len__(self) -> int:
@@ -120,10 +126,10 @@
         """Add a request."""
         lane = self._lanes.get(entry.organisation)
         if lane is None:
-            # An idle organisation saves up no service, and a returning
-            # one keeps the lead that it took.
-            tally = self._tallies.pop(entry.organisation, 0.0)
-            lane = _Lane(entry.organisation, max(tally, self._clock))
+            # An organisation earns no service while idle, and keeps the
+            # lead that it had when it returns.
+            served = self._idle_served.pop(entry.organisation, 0.0)
+            lane = _Lane(entry.organisation, max(served, self._virtual_time))
             self._lanes[entry.organisation] = lane
         else:
             self._order.remove(lane)
@@ -132,18 +138,18 @@
         self._length += 1
 
     def pop(self) -> Entry:
-        """Take the next request; the queue must not be empty."""
+        """Remove and return the next request; the queue must not be empty."""
         lane = self._order.pop(0)
         entry = lane.entries[0]
         lane.remove(entry)
         self._length -= 1
-        self._clock = max(self._clock, lane.served)
+        self._virtual_time = max(self._virtual_time, lane.served)
         lane.served += 1.0 / max(entry.weight, 1e-6)
         self._put_back(lane)
         return entry
 
     def remove(self, entry: Entry) -> bool:
-        """Take out a request that waits no longer; False if not there."""
+        """Remove a request; return False if it is not in the queue."""
         lane = self._lanes.get(entry.organisation)
         if lane is None or entry not in lane.entries:
             return False
@@ -158,53 +164,56 @@
             self._order.add(lane)
             return
         del self._lanes[lane.name]
-        if lane.served > self._clock:
-            self._tallies[lane.name] = lane.served
-        if len(self._tallies) > 2 * len(self._lanes) + 64:
-            self._tallies = {
+        if lane.served > self._virtual_time:
+            self._idle_served[lane.name] = lane.served
+        if len(self._idle_served) > 2 * len(self._lanes) + 64:
+            self._idle_served = {
                 name: served
-                for name, served in self._tallies.items()
-                if served > self._clock
+                for name, served in self._idle_served.items()
+                if served > self._virtual_time
             }
 
-    def ahead(self, organisation: str, priority: request.Priority) -> int:
-        """Estimate how many requests go before a new one.
+    def count_ahead(
+        self, organisation: str, priority: request.Priority
+    ) -> int:
+        """Estimate how many requests are served before a new one.
 
         Parameters
         ----------
         organisation : str
-            Whose the new request would be.
+            Organisation of the new request.
         priority : request.Priority
-            Its class.
+            Its priority class.
 
         Returns
         -------
         int
             The smaller of two bounds: all waiting requests of its class
-            and more urgent ones; a turn of every lane for each request
-            that waits before it in its own lane.
+            and more urgent ones; one request of every lane for each
+            request that waits before it in its own lane.
         """
         total = own = 0
         for lane in self._lanes.values():
-            before = lane.up_to(priority)
+            before = lane.count_up_to(priority)
             total += before
             if lane.name == organisation:
                 own = before
-        turns = (own + 1) * max(1, len(self._lanes))
-        return min(total, turns)
+        rounds = (own + 1) * max(1, len(self._lanes))
+        return min(total, rounds)
 
     def victim(self, newcomer: Entry) -> Entry | None:
-        """Return whom a full queue gives up for the newcomer.
+        """Return the request to evict from a full queue for the newcomer.
 
-        A flood would otherwise fill the queue, and every other
-        organisation would be refused for as long as it lasts.
+        Without eviction, one organisation could fill the queue, and all
+        others would be refused for as long as it does.
 
         Returns
         -------
         Entry or None
-            The least urgent, latest request of the organisation that has
-            the most waiting for its weight; None if that is the
-            newcomer's own and no request of it is less urgent.
+            The least urgent, latest request of the organisation with the
+            most waiting requests for its weight.  None if the newcomer's
+            organisation would then have at least as many for its weight, or
+            if it is that organisation and has no less urgent request.
         """
         longest = max(
             self._lanes.values(),
--- a/toucanrudder/admission/limits.py
+++ b/toucanrudder/admission/limits.py
@@ -1,4 +1,4 @@
-"""Rate limits of organisations, shared by the live routers."""
+"""Request rate limits of organisations, divided among the live routers."""
 
 import attrs
 import cachetools
@@ -19,10 +19,10 @@
 class RateLimiter:
     """Token buckets, one per organisation.
 
-    Each router grants its share of the limit, the limit divided by the
-    live routers.  No call to the store is made per request, so an outage
-    of the store changes nothing.  Routers that see different numbers of
-    live routers for a moment grant a little more or less than the limit.
+    Each router grants the limit divided by the number of live routers.  No
+    call to the store is made per request, so an outage of the store has no
+    effect.  While routers see different numbers of live routers, they grant
+    a little more or less than the limit.
 
     Examples
     --------
@@ -39,22 +39,21 @@
     """
 
     def __init__(self):
-        # Bounded, least recently used first: an organisation that comes
-        # back after it was dropped finds a full bucket, as it would after
-        # a pause long enough to be dropped.
+        # An organisation whose bucket was evicted as the least recently
+        # used starts with a full one, as after a long pause.
         self._buckets = cachetools.LRUCache(MAX_ORGANISATIONS)
 
     def check(
         self, organisation: model.Organisation, live_routers: int, now_s: float
     ) -> None:
-        """Take one request from the organisation's share.
+        """Take one request from the organisation's bucket.
 
         Parameters
         ----------
         organisation : model.Organisation
-            Whose limit counts.
+            Organisation that sent the request.
         live_routers : int
-            Routers that share the limit, this one included.
+            Routers among which the limit is divided, this one included.
         now_s : float
             Monotonic time.
 
@@ -65,14 +64,14 @@
         """
         share = 1.0 / max(1, live_routers)
         rate = organisation.requests_per_s * share
-        # At least one: with more routers than burst no request would ever
-        # pass otherwise.
+        # With more routers than the burst, no bucket would ever hold a
+        # whole request otherwise.
         burst = max(1.0, organisation.burst_requests * share)
         bucket = self._buckets.get(organisation.name)
         if bucket is None:
             bucket = self._buckets[organisation.name] = _Bucket(burst, now_s)
-        passed_s = max(0.0, now_s - bucket.at_s)
-        bucket.tokens = min(burst, bucket.tokens + passed_s * rate)
+        elapsed_s = max(0.0, now_s - bucket.at_s)
+        bucket.tokens = min(burst, bucket.tokens + elapsed_s * rate)
         bucket.at_s = now_s
         if bucket.tokens < 1.0:
             raise errors.RudderError(
@@ -84,7 +83,7 @@
         bucket.tokens -= 1.0
 
 
-def _wait_s(missing: float, rate: float) -> float | None:
+def _wait_s(missing_tokens: float, rate: float) -> float | None:
     if rate <= 0:
         return None
-    return round(missing / rate, 3)
+    return round(missing_tokens / rate, 3)
--- a/toucanrudder/admission/queue.py
+++ b/toucanrudder/admission/queue.py
@@ -1,4 +1,4 @@
-"""Lets requests through, a bounded number at once, the rest in order."""
+"""Admission of a bounded number of concurrent requests; others queue."""
 
 import asyncio
 import contextlib
@@ -13,27 +13,29 @@
 from toucanrudder.observability import metrics
 
 STEP = "admit"
+#: Smoothing factor of the mean time for which a request holds its place.
 HOLD_SMOOTHING = 0.05
-FIRST_HOLD_S = 0.1
+#: Assumed mean before the first request has ended.
+INITIAL_HOLD_S = 0.1
 MIN_RETRY_AFTER_S = 0.1
 
 
 @attrs.define(eq=False)
 class _Waiter(fair.Entry):
-    turn: asyncio.Future = attrs.field(factory=asyncio.Future)
+    admission: asyncio.Future = attrs.field(factory=asyncio.Future)
 
 
 class AdmissionQueue:
-    """At most `capacity` requests at once; the others wait their turn.
+    """A queue that admits at most `capacity` requests concurrently.
 
     Parameters
     ----------
     capacity : int
-        Requests let through at once; may be set at any time.
+        Requests admitted at once; may be changed at any time.
     max_queued : int
-        Requests that may wait.
+        Most requests that may wait.
     clock : callable
-        Monotonic clock of the waiting side.
+        Monotonic clock, in seconds.
     """
 
     def __init__(self, capacity: int, max_queued: int, clock=time.monotonic):
@@ -42,36 +44,36 @@
         self._clock = clock
         self._queue = fair.FairQueue()
         self._running = 0
-        self._hold_s = FIRST_HOLD_S
+        self._mean_hold_s = INITIAL_HOLD_S
 
     @property
     def capacity(self) -> int:
-        """Requests let through at once."""
+        """Requests admitted at once."""
         return self._capacity
 
     @capacity.setter
     def capacity(self, capacity: int) -> None:
         self._capacity = max(1, capacity)
-        self._let_through()
+        self._admit_waiting()
 
     @property
     def waiting(self) -> int:
-        """Requests that wait now."""
+        """Number of waiting requests."""
         return len(self._queue)
 
     @property
     def running(self) -> int:
-        """Requests that were let through and have not ended."""
+        """Number of admitted requests that have not ended."""
         return self._running
 
     def expected_wait_s(
         self, organisation: str, priority: request.Priority
     ) -> float:
-        """Estimate the wait of a request that would come now, in seconds."""
+        """Estimate the wait in seconds of a request that arrives now."""
         if self._running < self._capacity:
             return 0.0
-        ahead = self._queue.ahead(organisation, priority)
-        return (ahead + 1) * self._hold_s / self._capacity
+        ahead = self._queue.count_ahead(organisation, priority)
+        return (ahead + 1) * self._mean_hold_s / self._capacity
 
     @contextlib.asynccontextmanager
     async def admitted(
@@ -80,38 +82,39 @@
         priority: request.Priority,
         deadline_s: float,
     ):
-        """Hold one place for as long as the context lasts.
+        """Hold one place while the context is open.
 
         Parameters
         ----------
         organisation : model.Organisation
-            Whose request it is.
+            Organisation that sent the request.
         priority : request.Priority
-            Class of the request.
+            Priority class of the request.
         deadline_s : float
-            Monotonic time by which it must be let through.
+            Monotonic time by which it must be admitted.
 
         Yields
         ------
         float
-            Seconds that it waited.
+            Seconds for which it waited.
 
         Raises
         ------
         RudderError
-            ``deadline_unmet`` at once when the wait would be too long, or
-            when it became so; ``queue_full``.  Nothing was run.
+            ``deadline_unmet`` at once if the expected wait exceeds the
+            deadline, or when the deadline passes; ``queue_full``.  Nothing
+            has run.
         """
-        began_s = self._clock()
-        await self._wait(organisation, priority, deadline_s, began_s)
-        through_s = self._clock()
+        arrived_s = self._clock()
+        await self._wait(organisation, priority, deadline_s, arrived_s)
+        admitted_s = self._clock()
         try:
-            yield through_s - began_s
+            yield admitted_s - arrived_s
         finally:
             self._running -= 1
-            held_s = max(0.0, self._clock() - through_s)
-            self._hold_s += HOLD_SMOOTHING * (held_s - self._hold_s)
-            self._let_through()
+            held_s = max(0.0, self._clock() - admitted_s)
+            self._mean_hold_s += HOLD_SMOOTHING * (held_s - self._mean_hold_s)
+            self._admit_waiting()
 
     async def _wait(
         self,
@@ -126,7 +129,9 @@
         expected_s = self.expected_wait_s(organisation.name, priority)
         if now_s + expected_s > deadline_s:
             late_s = now_s + expected_s - deadline_s
-            raise _unmet("the wait would outlast the deadline", late_s)
+            raise _deadline_unmet(
+                "the wait would outlast the deadline", late_s
+            )
         waiter = _Waiter(
             organisation.name,
             organisation.weight,
@@ -134,54 +139,58 @@
             deadline_s,
             now_s,
         )
-        self._enter(waiter, expected_s)
-        await self._await_turn(waiter)
+        self._enqueue(waiter, expected_s)
+        await self._await_admission(waiter)
 
-    async def _await_turn(self, waiter: _Waiter) -> None:
+    async def _await_admission(self, waiter: _Waiter) -> None:
         left_s = waiter.deadline_s - self._clock()
         try:
             async with asyncio.timeout(max(0.0, left_s)):
-                await waiter.turn
+                await waiter.admission
         except BaseException as error:
-            if not self._queue.remove(waiter) and _granted(waiter):
-                # The turn came as the caller left; pass it on.
+            if not self._queue.remove(waiter) and _is_admitted(waiter):
+                # The caller left just as it was admitted: free the place.
                 self._running -= 1
-                self._let_through()
+                self._admit_waiting()
             if isinstance(error, TimeoutError):
                 expected_s = self.expected_wait_s(
                     waiter.organisation, waiter.priority
                 )
-                raise _unmet("the deadline passed", expected_s) from None
+                raise _deadline_unmet(
+                    "the deadline passed", expected_s
+                ) from None
             raise
 
-    def _enter(self, waiter: _Waiter, expected_s: float) -> None:
+    def _enqueue(self, waiter: _Waiter, expected_s: float) -> None:
         if len(self._queue) >= self._max_queued:
             victim = self._queue.victim(waiter)
             if victim is None:
-                raise _full(expected_s)
+                raise _queue_full(expected_s)
             self._queue.remove(victim)
-            if not victim.turn.done():
-                victim.turn.set_exception(_full(expected_s))
+            if not victim.admission.done():
+                victim.admission.set_exception(_queue_full(expected_s))
             metrics.counter(
                 "toucanrudder_displaced", "Waiting requests displaced"
             ).add(1)
         self._queue.push(waiter)
 
-    def _let_through(self) -> None:
+    def _admit_waiting(self) -> None:
         while self._queue and self._running < self._capacity:
             waiter = self._queue.pop()
-            if waiter.turn.done():
+            if waiter.admission.done():
                 continue
             self._running += 1
-            waiter.turn.set_result(None)
+            waiter.admission.set_result(None)
 
 
-def _granted(waiter: _Waiter) -> bool:
-    turn = waiter.turn
-    return turn.done() and not turn.cancelled() and turn.exception() is None
+def _is_admitted(waiter: _Waiter) -> bool:
+    future = waiter.admission
+    return (
+        future.done() and not future.cancelled() and future.exception() is None
+    )
 
 
-def _full(expected_s: float) -> errors.RudderError:
+def _queue_full(expected_s: float) -> errors.RudderError:
     return errors.RudderError(
         errors.Code.QUEUE_FULL,
         "too many requests are waiting",
@@ -190,10 +199,10 @@
     )
 
 
-def _unmet(why: str, late_s: float) -> errors.RudderError:
+def _deadline_unmet(message: str, late_s: float) -> errors.RudderError:
     return errors.RudderError(
         errors.Code.DEADLINE_UNMET,
-        why,
+        message,
         step=STEP,
         retry_after_s=_retry_after_s(late_s),
     )
