--- a/toucanrudder/quarantine/__init__.py
+++ b/toucanrudder/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Bounds the engines that one request can crash."""
+"""Quarantine of requests that crash engines."""
 
 from toucanrudder.quarantine.entry import Entry
 from toucanrudder.quarantine.entry import fingerprint
--- a/toucanrudder/quarantine/entry.py
+++ b/toucanrudder/quarantine/entry.py
@@ -1,4 +1,4 @@
-"""What routers tell each other about crashes."""
+"""Entries about crashes, exchanged between routers."""
 
 import enum
 import hashlib
@@ -7,7 +7,7 @@
 
 
 class Kind(enum.Enum):
-    """What an entry says of its request."""
+    """The kind of an entry."""
 
     CRASH = "crash"
     ALIVE = "alive"
@@ -17,22 +17,23 @@
 
 @attrs.frozen
 class Entry:
-    """One fact about one request; facts are only ever added.
+    """One observation about a request; observations are never changed.
 
     Parameters
     ----------
     kind : Kind
-        ``CRASH``: it was in flight at a crash.  ``ALIVE``: the process
-        answered after the crash was presumed.  ``CLEARED``: it ran to
-        its end as a suspect.  ``RELEASED``: an operator let it go.
+        ``CRASH``: the request was in flight at a crash.  ``ALIVE``: the
+        process answered after its crash had been presumed.  ``CLEARED``:
+        the request ran to its end as a suspect.  ``RELEASED``: an operator
+        released the request.
     fingerprint : str
         Identity of the request, see :func:`fingerprint`.
     at_s : float
-        Wall clock of the router that saw it.
+        Unix time of the router that observed it.
     upstream, incarnation : str
         The engine process; empty for ``CLEARED`` and ``RELEASED``.
     isolated : bool
-        Whether it was the only suspect in flight there.
+        Whether the request was the only suspect in flight there.
     """
 
     kind: Kind
@@ -62,7 +63,7 @@
     fingerprint : str
         Identity of the request.
     isolated : bool
-        Whether it was sent there as a suspect on trial.
+        Whether it was sent there as a suspect for a trial.
     """
 
     fingerprint: str
@@ -70,14 +71,14 @@
 
 
 def fingerprint(organisation: str, body_sha256: str) -> str:
-    """Return the identity by which resends of a request are recognised.
+    """Return the identity that a request and its resends share.
 
     Parameters
     ----------
     organisation : str
-        Whose request it is; no organisation can block another's request.
+        Organisation of the request; none can block another's requests.
     body_sha256 : str
-        Digest of the caller's body.
+        SHA-256 of the request body, in hex.
 
     Returns
     -------
--- a/toucanrudder/quarantine/suspects.py
+++ b/toucanrudder/quarantine/suspects.py
@@ -1,11 +1,11 @@
-"""Which requests are suspected of crashing engines.  No I/O.
+"""Detection of requests that crash engines.  No I/O.
 
 A request that crashes each engine that runs it takes down one engine per
-resend, through whichever router the resend meets.  So each request in
-flight at a crash becomes a suspect in all routers.  A suspect is run
-again, but on trial: each engine gets one suspect at a time.  The engine
-that crashes next then names its suspect, which is convicted after two
-engines; the others of its batch are suspects no longer.
+resend, through whichever router the resend arrives.  Each request in flight
+at a crash therefore becomes a suspect in all routers.  A suspect is run
+again in a trial: each engine gets one suspect at a time, so that the next
+crash identifies the request that caused it.  A request that has crashed two
+engines is quarantined; the others in flight with it are no longer suspects.
 """
 
 from collections.abc import Iterable
@@ -16,18 +16,25 @@
 
 from toucanrudder.quarantine import entry as entries_
 
+#: Age at which an entry expires.
 EXPIRY_S = 3600.0
 MAX_ENTRIES = 4096
+#: Time for which the entries of a crash spread before trials begin.
 SETTLE_S = 0.3
+#: Length of a round of trials.
 ROUND_S = 2.0
+#: Time after a crash for which its engine gets no trial.
 AVOIDED_S = 30.0
-EPISODE_S = 60.0
-HOLD_S = 10.0
-HOLD_STEP_S = 0.1
+#: Time for which a cleared suspect keeps its rank.
+CLEARED_RANK_S = 60.0
+#: Time after the last crash for which a trial waits for the one before it
+#: on the same engine, and the interval at which it checks.
+UNCLEARED_WAIT_S = 10.0
+UNCLEARED_STEP_S = 0.1
 
 
 class Standing(enum.Enum):
-    """How a request is to be treated."""
+    """The standing of a request."""
 
     FREE = "free"
     SUSPECT = "suspect"
@@ -36,14 +43,14 @@
 
 @attrs.frozen
 class Trial:
-    """Where and when a suspect may run.
+    """The engine and the delay of a suspect's next run.
 
     Parameters
     ----------
     upstream : str
         The engine; no other suspect is sent there in this round.
     wait_s : float
-        Time to wait before it is sent.
+        Seconds to wait before it is sent.
     """
 
     upstream: str
@@ -52,14 +59,14 @@
 
 @attrs.frozen
 class Detail:
-    """What a quarantined request is held for.
+    """The reason for which a request is quarantined.
 
     Parameters
     ----------
     crashes : int
-        Crashes that count against it.
+        Crashes attributed to it.
     expires_in_s : float
-        Time until the first of them is forgotten.
+        Seconds until the first of them expires.
     """
 
     crashes: int
@@ -67,10 +74,10 @@
 
 
 @attrs.frozen
-class _View:
-    """What follows from the entries, until `until_s`."""
+class _Conclusions:
+    """Conclusions from the entries, valid until `until_s`."""
 
-    convicted: frozenset[str]
+    quarantined: frozenset[str]
     suspects: tuple[str, ...]
     ranked: tuple[str, ...]
     crashes: frozenset[tuple[str, str]]
@@ -80,22 +87,22 @@
 
 
 class SuspectTracker:
-    """Entries of this router and, by merging, of all others.
+    """Suspects, derived from the merged entries of all routers.
 
-    Everything is worked out from the set of entries, so routers that hold
-    the same entries agree, in whatever order and however often the entries
-    came.  Times are wall clock, since entries travel.
+    All conclusions are functions of the set of entries, so that routers with
+    the same entries agree, however often and in whatever order they arrived.
+    Times are Unix times, since entries are exchanged between routers.
 
     Parameters
     ----------
     expiry_s : float
-        Age at which an entry is forgotten, a quarantine with it.
+        Age in seconds at which an entry expires, and a quarantine with it.
     max_entries : int
-        Entries that are kept; the oldest go first.
+        Entries that are kept; the oldest are evicted first.
     settle_s : float
-        Time for which a crash's entries spread before trials begin.
+        Seconds for which a crash's entries spread before trials begin.
     round_s : float
-        Length of a round when there are more suspects than engines.
+        Seconds of a round when there are more suspects than engines.
 
     Examples
     --------
@@ -122,37 +129,37 @@
         self._settle_s = settle_s
         self._round_s = round_s
         self._entries: dict[tuple, entries_.Entry] = {}
-        self._view: _View | None = None
+        self._conclusions: _Conclusions | None = None
 
     def standing(self, fingerprint: str, now_s: float) -> Standing:
-        """Return how the request is to be treated.
+        """Return whether the request is free, a suspect or quarantined.
 
         Parameters
         ----------
         fingerprint : str
             Identity of the request.
         now_s : float
-            Wall clock.
+            Unix time.
 
         Returns
         -------
         Standing
-            Its standing.
+            The standing of the request.
         """
-        view = self._current(now_s)
-        if fingerprint in view.convicted:
+        conclusions = self._current(now_s)
+        if fingerprint in conclusions.quarantined:
             return Standing.QUARANTINED
-        if fingerprint in view.suspects:
+        if fingerprint in conclusions.suspects:
             return Standing.SUSPECT
         return Standing.FREE
 
     def plan_trial(
         self, fingerprint: str, upstreams: Sequence[str], now_s: float
     ) -> Trial | None:
-        """Return where and when a suspect may run.
+        """Return on which engine and when a suspect may run.
 
-        The routers rank the suspects alike, so they send no two to one
-        engine in one round, and copies of one suspect to one engine.
+        All routers rank the suspects alike.  They thus send no two suspects
+        to one engine in one round, and copies of a suspect to one engine.
 
         Parameters
         ----------
@@ -161,39 +168,39 @@
         upstreams : sequence of str
             Live engines that can run it.
         now_s : float
-            Wall clock.
+            Unix time.
 
         Returns
         -------
         Trial or None
-            None when there is no engine, or it isn't a suspect.
+            None if there is no engine or the request is no suspect.
         """
-        view = self._current(now_s)
-        if not upstreams or fingerprint not in view.suspects:
+        conclusions = self._current(now_s)
+        if not upstreams or fingerprint not in conclusions.suspects:
             return None
-        # Routers learn at different times that an engine is gone, but they
-        # hold the same entries.  Ranked over what each sees as live, two
-        # suspects would meet on one engine, and neither could be convicted
-        # of its crash.
+        # Routers learn at different times that an engine is gone, but hold
+        # the same entries.  If each ranked over the engines that it sees as
+        # live, two suspects could run on one engine, and its crash could be
+        # attributed to neither.
         ordered = sorted(set(upstreams) - self._crashed_since(now_s))
         ordered = ordered or sorted(upstreams)
-        rank = view.ranked.index(fingerprint)
-        rounds = -(-len(view.ranked) // len(ordered))
-        turn = rank // len(ordered)
-        before = view.ranked[rank % len(ordered) : rank : len(ordered)]
-        if view.suspects and set(before) & set(view.suspects):
-            # One before it on this engine has not been cleared and may be
-            # running still, longer than a round.
-            if now_s - view.last_crash_s < HOLD_S:
-                return Trial(ordered[rank % len(ordered)], HOLD_STEP_S)
-        elif turn:
+        rank = conclusions.ranked.index(fingerprint)
+        rounds = -(-len(conclusions.ranked) // len(ordered))
+        round_index = rank // len(ordered)
+        earlier = conclusions.ranked[rank % len(ordered) : rank : len(ordered)]
+        if conclusions.suspects and set(earlier) & set(conclusions.suspects):
+            # An earlier suspect on this engine has not been cleared and may
+            # run for longer than a round.
+            if now_s - conclusions.last_crash_s < UNCLEARED_WAIT_S:
+                return Trial(ordered[rank % len(ordered)], UNCLEARED_STEP_S)
+        elif round_index:
             rounds = 1
-        # Entries of other routers must have come before ranks agree.
-        start_s = view.last_crash_s + self._settle_s
+        # Ranks agree only after the entries of other routers have arrived.
+        start_s = conclusions.last_crash_s + self._settle_s
         wait_s = max(0.0, start_s - now_s)
         if rounds > 1:
             wait_s += self._until_round(
-                turn, rounds, now_s + wait_s - view.first_crash_s
+                round_index, rounds, now_s + wait_s - conclusions.first_crash_s
             )
         return Trial(ordered[rank % len(ordered)], wait_s)
 
@@ -205,10 +212,12 @@
             and now_s - entry.at_s < AVOIDED_S
         }
 
-    def _until_round(self, turn: int, rounds: int, passed_s: float) -> float:
+    def _until_round(
+        self, round_index: int, rounds: int, elapsed_s: float
+    ) -> float:
         cycle_s = rounds * self._round_s
-        offset_s = (passed_s - turn * self._round_s) % cycle_s
-        # A trial that starts late in its round would run into the next.
+        offset_s = (elapsed_s - round_index * self._round_s) % cycle_s
+        # A trial that starts late in its round would overlap the next.
         if offset_s < self._round_s / 2:
             return 0.0
         return cycle_s - offset_s
@@ -220,22 +229,22 @@
         in_flight: Iterable[entries_.InFlight],
         now_s: float,
     ) -> None:
-        """Note a crash and the requests that were in flight there.
+        """Record a crash and the requests that were in flight there.
 
         Parameters
         ----------
         upstream, incarnation : str
             The engine process that crashed.
         in_flight : iterable of InFlight
-            This router's requests there; other routers add theirs.
+            This router's requests there; other routers record theirs.
         now_s : float
-            Wall clock.
+            Unix time.
         """
         if not incarnation:
-            # Nobody knows which process that was.  Noted as one of its
-            # own, a second try at the same dead engine would convict.
+            # The process is unknown.  Counted as a separate crash, a second
+            # try at the same dead engine would quarantine the request.
             return
-        noted = [
+        crash_entries = [
             entries_.Entry(
                 entries_.Kind.CRASH,
                 request.fingerprint,
@@ -246,22 +255,22 @@
             )
             for request in in_flight
         ]
-        self.merge(noted, now_s)
+        self.merge(crash_entries, now_s)
 
     def is_presumed_dead(
         self, upstream: str, incarnation: str, now_s: float
     ) -> bool:
-        """Whether entries say that the engine process crashed."""
+        """Whether the engine process is presumed to have crashed."""
         return (upstream, incarnation) in self._current(now_s).crashes
 
     def record_alive(
         self, upstream: str, incarnation: str, now_s: float
     ) -> None:
-        """Note that a process presumed dead has answered since.
+        """Record that a process presumed dead has answered.
 
-        A network that cuts connections looks like a crash from where the
-        router stands.  Without this, requests that were merely cut twice
-        would stay in quarantine.
+        To a router, lost connections look like a crash.  Without this
+        entry, a request whose connection was lost twice would stay in
+        quarantine.
         """
         entry = entries_.Entry(
             entries_.Kind.ALIVE, "", now_s, upstream, incarnation
@@ -269,12 +278,12 @@
         self.merge([entry], now_s)
 
     def record_completion(self, fingerprint: str, now_s: float) -> None:
-        """Note that a suspect ran to its end without a crash."""
+        """Record that a suspect ran to its end without a crash."""
         if self.standing(fingerprint, now_s) is Standing.SUSPECT:
             self._add(entries_.Kind.CLEARED, fingerprint, now_s)
 
     def release(self, fingerprint: str, now_s: float) -> None:
-        """Let a request go, by an operator's word."""
+        """Release a request on an operator's order."""
         self._add(entries_.Kind.RELEASED, fingerprint, now_s)
 
     def _add(
@@ -283,68 +292,70 @@
         self.merge([entries_.Entry(kind, fingerprint, now_s)], now_s)
 
     def merge(self, entries: Iterable[entries_.Entry], now_s: float) -> bool:
-        """Take in entries of another router.
+        """Merge entries of another router.
 
         Parameters
         ----------
         entries : iterable of Entry
-            Entries, in any order, also ones that are known.
+            Entries, in any order; known ones may be among them.
         now_s : float
-            Wall clock.
+            Unix time.
 
         Returns
         -------
         bool
-            Whether anything was new.
+            Whether any entry was new.
         """
-        new = False
+        has_new = False
         for entry in entries:
             if abs(now_s - entry.at_s) >= self._expiry_s:
                 continue
             known = self._entries.get(entry.key)
-            joined = entry if known is None else _join(known, entry)
-            if joined != known:
-                self._entries[entry.key] = joined
-                new = True
-        if new:
-            self._view = None
-            self._shed()
-        return new
+            merged = entry if known is None else _merge(known, entry)
+            if merged != known:
+                self._entries[entry.key] = merged
+                has_new = True
+        if has_new:
+            self._conclusions = None
+            self._evict_oldest()
+        return has_new
 
     def entries(self, now_s: float) -> tuple[entries_.Entry, ...]:
-        """Return all live entries, to be sent to other routers."""
-        self._forget(now_s)
+        """Return all entries that have not expired, to send to others."""
+        self._expire(now_s)
         return tuple(self._entries.values())
 
     def quarantined(self, now_s: float) -> tuple[str, ...]:
         """Return the fingerprints of quarantined requests."""
-        return tuple(sorted(self._current(now_s).convicted))
+        return tuple(sorted(self._current(now_s).quarantined))
 
     def detail(self, fingerprint: str, now_s: float) -> "Detail":
-        """Return what a quarantined request is held for.
+        """Return the reason for which a request is quarantined.
 
         Parameters
         ----------
         fingerprint : str
             Identity of the request.
         now_s : float
-            Wall clock.
+            Unix time.
 
         Returns
         -------
         Detail
-            Its crashes, and the time until the first is forgotten.
+            Its crashes, and the time until the first expires.
         """
         crashes = self._current(now_s).crashes
-        held = [
+        own_entries = [
             entry
             for entry in self._entries.values()
             if entry.fingerprint == fingerprint and entry.crash in crashes
         ]
-        oldest_s = min((entry.at_s for entry in held), default=now_s)
-        return Detail(len(held), max(0.0, oldest_s + self._expiry_s - now_s))
+        oldest_s = min((entry.at_s for entry in own_entries), default=now_s)
+        return Detail(
+            len(own_entries), max(0.0, oldest_s + self._expiry_s - now_s)
+        )
 
-    def _shed(self) -> None:
+    def _evict_oldest(self) -> None:
         surplus = len(self._entries) - self._max_entries
         if surplus <= 0:
             return
@@ -355,29 +366,29 @@
         for entry in oldest[:surplus]:
             del self._entries[entry.key]
 
-    def _forget(self, now_s: float) -> None:
-        old = [
+    def _expire(self, now_s: float) -> None:
+        expired = [
             key
             for key, entry in self._entries.items()
             if now_s - entry.at_s >= self._expiry_s
         ]
-        for key in old:
+        for key in expired:
             del self._entries[key]
-        if old:
-            self._view = None
-
-    def _current(self, now_s: float) -> _View:
-        if self._view is None or now_s >= self._view.until_s:
-            self._view = None
-            self._forget(now_s)
-            self._view = _conclude(
+        if expired:
+            self._conclusions = None
+
+    def _current(self, now_s: float) -> _Conclusions:
+        if self._conclusions is None or now_s >= self._conclusions.until_s:
+            self._conclusions = None
+            self._expire(now_s)
+            self._conclusions = _conclude(
                 tuple(self._entries.values()), now_s, self._expiry_s
             )
-        return self._view
+        return self._conclusions
 
 
-def _join(a: entries_.Entry, b: entries_.Entry) -> entries_.Entry:
-    """Merge two entries of one key; commutative and idempotent."""
+def _merge(a: entries_.Entry, b: entries_.Entry) -> entries_.Entry:
+    """Merge two entries with the same key; commutative and idempotent."""
     if a.kind is entries_.Kind.CRASH:
         at_s = min(a.at_s, b.at_s)
     else:
@@ -387,10 +398,10 @@
 
 def _conclude(
     entries: tuple[entries_.Entry, ...], now_s: float, expiry_s: float
-) -> _View:
+) -> _Conclusions:
     released = _latest(entries, entries_.Kind.RELEASED)
     cleared = _latest(entries, entries_.Kind.CLEARED)
-    # No process that crashed comes back under the same incarnation.
+    # A process that crashed never restarts under the same incarnation.
     alive = {e.crash for e in entries if e.kind is entries_.Kind.ALIVE}
     crashes = [
         entry
@@ -399,8 +410,8 @@
         and entry.crash not in alive
         and entry.at_s > released.get(entry.fingerprint, float("-inf"))
     ]
-    convicted = _convicted(crashes)
-    explained = {e.crash for e in crashes if e.fingerprint in convicted}
+    quarantined = _quarantined(crashes)
+    explained = {e.crash for e in crashes if e.fingerprint in quarantined}
     suspected = [
         entry
         for entry in crashes
@@ -408,11 +419,11 @@
         and entry.at_s > cleared.get(entry.fingerprint, float("-inf"))
     ]
     times = [entry.at_s for entry in suspected]
-    suspects = _in_order(suspected)
-    # Those cleared keep their rank for a while: without them all after
-    # them would move, onto engines where others are on trial.
-    since_s = max(times, default=now_s) - EPISODE_S
-    ranked = _in_order(
+    suspects = _rank(suspected)
+    # Cleared suspects keep their ranks for a while.  Otherwise all later
+    # suspects would move to engines on which others are running.
+    since_s = max(times, default=now_s) - CLEARED_RANK_S
+    ranked = _rank(
         [
             entry
             for entry in crashes
@@ -421,8 +432,8 @@
         ]
     )
     oldest_s = min((e.at_s for e in entries), default=float("inf"))
-    return _View(
-        convicted=frozenset(convicted),
+    return _Conclusions(
+        quarantined=frozenset(quarantined),
         suspects=suspects,
         ranked=ranked,
         crashes=frozenset(entry.crash for entry in crashes),
@@ -432,14 +443,19 @@
     )
 
 
-def _in_order(suspected: Sequence[entries_.Entry]) -> tuple[str, ...]:
-    # By time, so that a crash that one router notices late gives its
-    # requests the last ranks and does not move those on trial already.
+def _rank(suspected: Sequence[entries_.Entry]) -> tuple[str, ...]:
+    # Ordered by time, so that requests of a crash that a router notices late
+    # get the last ranks and do not move suspects that are already running.
     first_s: dict[str, float] = {}
     for entry in suspected:
         known_s = first_s.get(entry.fingerprint, entry.at_s)
         first_s[entry.fingerprint] = min(known_s, entry.at_s)
-    return tuple(sorted(first_s, key=lambda each: (first_s[each], each)))
+    return tuple(
+        sorted(
+            first_s,
+            key=lambda fingerprint: (first_s[fingerprint], fingerprint),
+        )
+    )
 
 
 def _latest(
@@ -453,17 +469,18 @@
     return latest
 
 
-def _convicted(crashes: Sequence[entries_.Entry]) -> set[str]:
-    """Return the requests that two crashes point to.
+def _quarantined(crashes: Sequence[entries_.Entry]) -> set[str]:
+    """Return the requests to which two crashes are attributed.
 
-    One crash proves nothing: it may be the hardware, or any other request
-    of the batch.  The second counts only for a request that was the one
-    suspect there; two suspects at one crash would both be blamed.
+    One crash proves nothing: its cause may be the hardware or any other
+    request in flight.  A second crash counts only for the request that was
+    the single suspect there; with two, an innocent one would be quarantined
+    as well.
     """
     on_trial: dict[tuple[str, str], set[str]] = {}
-    seen: dict[str, set[tuple[str, str]]] = {}
+    crashes_of: dict[str, set[tuple[str, str]]] = {}
     for entry in crashes:
-        seen.setdefault(entry.fingerprint, set()).add(entry.crash)
+        crashes_of.setdefault(entry.fingerprint, set()).add(entry.crash)
         if entry.isolated:
             on_trial.setdefault(entry.crash, set()).add(entry.fingerprint)
     return {
@@ -471,5 +488,5 @@
         for suspects in on_trial.values()
         if len(suspects) == 1
         for fingerprint in suspects
-        if len(seen[fingerprint]) >= 2
+        if len(crashes_of[fingerprint]) >= 2
     }
--- a/toucanrudder/quarantine/tests/test_copies.py
+++ b/toucanrudder/quarantine/tests/test_copies.py
@@ -7,13 +7,13 @@
 ROUTERS = 4
 
 
-async def test_copies_at_several_routers_at_one_moment():
-    """A caller sends the request that crashes engines to four routers at
-    once, and again after each answer.
+async def test_concurrent_copies_at_several_routers_crash_two_engines():
+    """A caller sends a request that crashes engines to four routers at once,
+    and again after each answer.
 
-    No router knows of a crash when it places its copy.  Since ties fall
-    alike for equal bodies, the copies meet at one engine; the trial that
-    follows takes the second, and no third one dies.
+    No router knows of a crash when it places its copy.  Since ties are
+    broken alike for equal bodies, the copies run on one engine.  The trial
+    that follows crashes a second engine, and no third one may crash.
     """
     plan = fleets.Plan(engines=5, routers=ROUTERS)
     async with fleets.running(plan) as fleet:
@@ -33,4 +33,4 @@
             if process.process.returncode is not None
         ]
         assert len(dead) == 2
-        assert {each.error["code"] for each in answers} == {"quarantined"}
+        assert {answer.error["code"] for answer in answers} == {"quarantined"}
--- a/toucanrudder/quarantine/tests/test_poison_fleet.py
+++ b/toucanrudder/quarantine/tests/test_poison_fleet.py
@@ -22,21 +22,21 @@
 
 @pytest.mark.parametrize("proxied", [True, False])
 async def test_poison_request_kills_two_engines_at_most(proxied):
-    """A request crashes each engine that runs it, and its caller sends it
-    again, each time to another router.  Others run in the same batches.
+    """A request crashes each engine that runs it, and its caller resends it,
+    each time to another router.  Other requests run in the same batches.
 
-    After the second engine the request is quarantined in all routers: the
-    caller gets a final coded answer at once.  The others are answered, and
-    may be sent again: none of them is blamed.  The same must come of it
-    when a dead engine refuses connections and when (`proxied`) something
-    before it lets them open and break.
+    After the second crash the request is quarantined in all routers, and
+    its caller gets a final error at once.  The other requests are answered
+    and may be resent: none of them is quarantined.  This must hold when a
+    dead engine refuses connections and when (`proxied`) a proxy in front of
+    it accepts and then closes them.
     """
     plan = fleets.Plan(
         engines=ENGINES,
         routers=3,
         engine_options={"decode_s_per_token": 0.05},
         proxied=proxied,
-        # A handful of requests earns no retries under the usual ratio.
+        # So few requests earn no retries under the default ratio.
         document={"policy": {"retry_ratio": 1.0}},
     )
     async with fleets.running(plan) as fleet:
--- a/toucanrudder/quarantine/tests/test_suspects.py
+++ b/toucanrudder/quarantine/tests/test_suspects.py
@@ -18,7 +18,7 @@
     )
 
 
-def fact(kind, name, at_s):
+def observation(kind, name, at_s):
     return entry.Entry(kind, name, at_s)
 
 
@@ -30,38 +30,38 @@
 
 TABLE = [
     ([crash("p"), crash("o")], {"p": SUSPECT, "o": SUSPECT, "x": FREE}),
-    # The second crash names the one suspect; its batch is cleared, also
-    # those that had joined it at the second engine.
+    # The second crash identifies its only suspect.  The other requests are
+    # free, including those that joined it at the second engine.
     (
         [crash("p"), crash("o"), trial("p"), crash("n", 101.0, "e2")],
         {"p": QUARANTINED, "o": FREE, "n": FREE},
     ),
-    # Two crashes without isolation name nobody.
+    # Two crashes without isolation identify no request.
     (
         [crash("p"), crash("o"), crash("p", 101, "e2"), crash("o", 101, "e2")],
         {"p": SUSPECT, "o": SUSPECT},
     ),
-    # Two suspects at one engine: nobody is blamed for the other.
+    # Two suspects at one engine: neither is quarantined.
     (
         [crash("p"), crash("o"), trial("p"), trial("o")],
         {"p": SUSPECT, "o": SUSPECT},
     ),
-    # One crash told twice, by two routers, is one crash.
+    # A crash reported by two routers is one crash.
     ([crash("p"), crash("p", 100.2)], {"p": SUSPECT}),
-    ([crash("p"), fact(CLEARED, "p", 101.0)], {"p": FREE}),
-    ([crash("p"), fact(CLEARED, "p", 99.0)], {"p": SUSPECT}),
-    # A copy that happened to end well lifts no quarantine; an operator
-    # does, and what crashed after that counts anew.
+    ([crash("p"), observation(CLEARED, "p", 101.0)], {"p": FREE}),
+    ([crash("p"), observation(CLEARED, "p", 99.0)], {"p": SUSPECT}),
+    # A copy that ends normally does not end a quarantine.  A release by an
+    # operator does, and later crashes are counted from zero.
     (
-        [crash("p"), trial("p"), fact(CLEARED, "p", 103.0)],
+        [crash("p"), trial("p"), observation(CLEARED, "p", 103.0)],
         {"p": QUARANTINED},
     ),
-    ([crash("p"), trial("p"), fact(RELEASED, "p", 103.0)], {"p": FREE}),
+    ([crash("p"), trial("p"), observation(RELEASED, "p", 103.0)], {"p": FREE}),
     (
         [
             crash("p"),
             trial("p"),
-            fact(RELEASED, "p", 103.0),
+            observation(RELEASED, "p", 103.0),
             crash("p", 104.0, "e3"),
         ],
         {"p": SUSPECT},
@@ -69,15 +69,17 @@
 ]
 
 
-@pytest.mark.parametrize(("entries", "want"), TABLE)
-def test_standing_follows_from_the_entries_in_any_order(entries, want):
+@pytest.mark.parametrize(("entries", "expected"), TABLE)
+def test_standing_does_not_depend_on_the_order_of_entries(entries, expected):
     orders = list(itertools.permutations(entries))
     for order in orders[:24]:
-        suspicions = suspects.SuspectTracker()
-        for one in order:
-            suspicions.merge([one, one], NOW_S)
-        got = {name: suspicions.standing(name, NOW_S + 9) for name in want}
-        assert got == want
+        tracker = suspects.SuspectTracker()
+        for each_entry in order:
+            tracker.merge([each_entry, each_entry], NOW_S)
+        standings = {
+            name: tracker.standing(name, NOW_S + 9) for name in expected
+        }
+        assert standings == expected
 
 
 ENTRIES = strategies.lists(
@@ -100,9 +102,9 @@
     a, b = suspects.SuspectTracker(), suspects.SuspectTracker()
     a.merge(ours, NOW_S)
     b.merge(theirs, NOW_S)
-    told = a.entries(NOW_S), b.entries(NOW_S)
-    for one, other in ((a, told[1]), (b, told[0]), (a, told[1])):
-        one.merge(other, NOW_S)
+    sent = a.entries(NOW_S), b.entries(NOW_S)
+    for receiver, received in ((a, sent[1]), (b, sent[0]), (a, sent[1])):
+        receiver.merge(received, NOW_S)
     assert set(a.entries(NOW_S)) == set(b.entries(NOW_S))
     assert not a.merge(b.entries(NOW_S), NOW_S)
     assert [a.standing(n, NOW_S) for n in "abc"] == [
@@ -111,23 +113,23 @@
 
 
 def test_entries_expire_and_are_bounded():
-    suspicions = suspects.SuspectTracker(expiry_s=10.0, max_entries=3)
-    suspicions.merge([crash(f"r{i}", NOW_S + i) for i in range(5)], NOW_S)
-    assert [suspicions.standing(f"r{i}", NOW_S) for i in (1, 2)] == [
+    tracker = suspects.SuspectTracker(expiry_s=10.0, max_entries=3)
+    tracker.merge([crash(f"r{i}", NOW_S + i) for i in range(5)], NOW_S)
+    assert [tracker.standing(f"r{i}", NOW_S) for i in (1, 2)] == [
         FREE,
         SUSPECT,
     ]
-    assert suspicions.standing("r4", NOW_S + 15) is FREE
-    assert suspicions.entries(NOW_S + 15) == ()
-    assert not suspicions.merge([crash("late", NOW_S)], NOW_S + 15)
+    assert tracker.standing("r4", NOW_S + 15) is FREE
+    assert tracker.entries(NOW_S + 15) == ()
+    assert not tracker.merge([crash("late", NOW_S)], NOW_S + 15)
 
 
-def test_a_crash_of_an_unknown_process_is_no_second_crash():
-    suspicions = suspects.SuspectTracker()
+def test_a_crash_of_an_unknown_process_is_not_counted():
+    tracker = suspects.SuspectTracker()
     on_trial = entry.InFlight("p", isolated=True)
-    suspicions.record_crash("e1", "i1", [on_trial], NOW_S)
-    suspicions.record_crash("e1", "", [on_trial], NOW_S)
-    assert suspicions.standing("p", NOW_S) is SUSPECT
+    tracker.record_crash("e1", "i1", [on_trial], NOW_S)
+    tracker.record_crash("e1", "", [on_trial], NOW_S)
+    assert tracker.standing("p", NOW_S) is SUSPECT
 
 
 FLEETS = [(4, 3, 1), (4, 8, 3), (2, 8, 7), (8, 8, 7), (1, 3, 2)]
@@ -135,15 +137,15 @@
 
 @pytest.mark.parametrize(("engines", "batch", "routers"), FLEETS)
 @pytest.mark.parametrize("seed", range(5))
-def test_a_poison_request_takes_two_engines_and_no_bystander(
+def test_a_poison_request_crashes_two_engines_and_no_other_is_quarantined(
     engines, batch, routers, seed
 ):
-    """A batch holds one request that crashes each engine that runs it.
+    """One request of a batch crashes each engine that runs it.
 
-    All callers send again until they are answered or refused for good,
-    each time at another router.  At most two engines may die, only the
-    poison may be quarantined, and each bystander must be answered.  With
-    more suspects than engines the rounds keep them apart.
+    All callers resend, each time to another router, until they are answered
+    or finally refused.  At most two engines may crash, only the request that
+    crashes them may be quarantined, and each other one must be answered.
+    With more suspects than engines, the rounds keep the suspects apart.
     """
     rng = random.Random(seed)
     fleet = [suspects.SuspectTracker() for _ in range(routers)]
@@ -154,8 +156,8 @@
         rng.choice(fleet).record_crash(
             "e-first", "1", [entry.InFlight(name)], NOW_S
         )
-    spread(fleet)
-    deaths, answered, now_s = 1, set(), NOW_S + 1
+    exchange_entries(fleet)
+    crashes, answered, now_s = 1, set(), NOW_S + 1
     for _ in range(200):
         running = {}
         for name in names:
@@ -165,40 +167,42 @@
                 continue
             engine = rng.choice(alive)
             if standing is SUSPECT:
-                place = router.plan_trial(name, alive, now_s)
-                if place.wait_s > 0:
+                planned = router.plan_trial(name, alive, now_s)
+                if planned.wait_s > 0:
                     continue
-                engine = place.upstream
+                engine = planned.upstream
             running.setdefault(engine, []).append(
                 (router, name, standing is SUSPECT)
             )
         for engine, requests in running.items():
-            died = any(name == poison for _, name, _ in requests)
-            deaths += died
+            crashed = any(name == poison for _, name, _ in requests)
+            crashes += crashed
             for router, name, isolated in requests:
-                flight = entry.InFlight(name, isolated)
-                if died:
-                    router.record_crash(engine, str(deaths), [flight], now_s)
+                in_flight = entry.InFlight(name, isolated)
+                if crashed:
+                    router.record_crash(
+                        engine, str(crashes), [in_flight], now_s
+                    )
                 else:
                     router.record_completion(name, now_s)
                     answered.add(name)
-        spread(fleet)
+        exchange_entries(fleet)
         now_s += 0.7
-    assert deaths == 2
+    assert crashes == 2
     assert answered == set(names[1:])
     assert {r.quarantined(now_s) for r in fleet} == {(poison,)}
 
 
-def spread(fleet):
-    for one, other in itertools.permutations(fleet, 2):
-        one.merge(other.entries(NOW_S), NOW_S)
+def exchange_entries(fleet):
+    for receiver, sender in itertools.permutations(fleet, 2):
+        receiver.merge(sender.entries(NOW_S), NOW_S)
 
 
-def test_a_crash_that_was_none_is_taken_back():
-    """The network cuts the connections to two engines in turn, and each
-    time one innocent request is in flight.  From here that looks like two
-    crashes, so the request is quarantined.  Then both processes answer a
-    poll: neither crashed, and the request goes free on every router.
+def test_a_presumed_crash_is_withdrawn_when_the_process_answers():
+    """Connections to two engines are lost in turn, each time with the same
+    request in flight.  To the router that looks like two crashes, so the
+    request is quarantined.  Then both processes answer a poll: neither has
+    crashed, and the request must be free on every router.
     """
     here, there = suspects.SuspectTracker(), suspects.SuspectTracker()
     here.record_crash("e1", "i1", [entry.InFlight("p")], now_s=0.0)
@@ -206,8 +210,8 @@
     here.record_crash("e2", "i2", [trial], now_s=1.0)
     assert here.standing("p", 2.0) is QUARANTINED
     assert here.is_presumed_dead("e1", "i1", 2.0)
-    held = here.detail("p", 2.0)
-    assert (held.crashes, held.expires_in_s) == (2, suspects.EXPIRY_S - 2)
+    detail = here.detail("p", 2.0)
+    assert (detail.crashes, detail.expires_in_s) == (2, suspects.EXPIRY_S - 2)
     here.record_alive("e1", "i1", 3.0)
     assert here.standing("p", 3.0) is SUSPECT
     here.record_alive("e2", "i2", 4.0)
