--- a/toucanrudder/forwarding/cache_feed.py
+++ b/toucanrudder/forwarding/cache_feed.py
@@ -14,7 +14,7 @@
 from toucanrudder.forwarding import cache
 from toucanrudder.forwarding import model
 from toucanrudder.forwarding import state as states
-from toucanrudder.membership import settling
+from toucanrudder.membership import convergence
 from toucanrudder.observability import decisions
 from toucanrudder.placement import rendezvous
 
@@ -130,7 +130,7 @@
         self._routers = routers
         self._rng = rng
         self._polls: dict[str, asyncio.Task] = {}
-        self._settling = settling.Settling()
+        self._settling = convergence.ConvergenceDetector()
 
     async def run(self) -> None:
         """Poll until cancelled."""
@@ -148,7 +148,7 @@
         ended = self._drop_ended()
         engines, stores = self._state.engines(), self._state.cache_stores()
         routers = tuple(sorted(self._routers()))
-        if self._settling.is_settled(len(routers), now_s):
+        if self._settling.has_converged(len(routers), now_s):
             self._update_polls((*engines, *stores), routers, ended)
         self._drop_unused(engines, stores)
 
--- a/toucanrudder/forwarding/store_watch.py
+++ b/toucanrudder/forwarding/store_watch.py
@@ -15,8 +15,8 @@
 from toucanrudder.forwarding import registry as registries
 from toucanrudder.forwarding import state as states
 from toucanrudder.leases import holder
+from toucanrudder.membership import convergence
 from toucanrudder.membership import routers
-from toucanrudder.membership import settling
 from toucanrudder.observability import decisions
 from toucanrudder.peers import peering as peer_peerings
 from toucanrudder.placement import rendezvous
@@ -138,8 +138,10 @@
         self._names: tuple[str, ...] = ()
         self._cap_members: tuple[capping.Member, ...] = ()
         self._takeover_rank = 0
-        self._settling = settling.Settling()
-        self._upstreams_settling = settling.Settling(UPSTREAMS_SETTLE_S)
+        self._settling = convergence.ConvergenceDetector()
+        self._upstreams_settling = convergence.ConvergenceDetector(
+            UPSTREAMS_SETTLE_S
+        )
         self._has_read_weights = self._has_read_lease = False
         self._duties: set[str] = set()
         self._upstream_log = fanout.ChangeLog()
@@ -242,8 +244,8 @@
             deadline_s=fanout.ASK_DEADLINE_S,
         )
 
-    def _is_settled(self, of: settling.Settling) -> bool:
-        return of.is_settled(len(self.live_router_names()), clock.now_s())
+    def _is_settled(self, of: convergence.ConvergenceDetector) -> bool:
+        return of.has_converged(len(self.live_router_names()), clock.now_s())
 
     def _watches_weights(self) -> bool:
         """Whether this router watches the weights in the store itself.
