--- a/toucanrudder/bench/capacity/pure.py
+++ b/toucanrudder/bench/capacity/pure.py
@@ -171,13 +171,13 @@
     names = [f"router-{number}" for number in range(size)]
     meter = isolation.Meter()
     for name in names:
-        table.heard(name, "10.0.0.1:8082", 1, 0.0)
+        table.record_heartbeat(name, "10.0.0.1:8082", 1, 0.0)
     grown = meter.grown_bytes()
     rounds = max(1, REPEATS // size)
     meter = isolation.Meter()
     for number in range(rounds):
         for name in names:
-            table.heard(name, "10.0.0.1:8082", 1, number * 0.01)
+            table.record_heartbeat(name, "10.0.0.1:8082", 1, number * 0.01)
     heard_s = meter.spent_s() / rounds / size
     meter = isolation.Meter()
     for _ in range(rounds):
--- a/toucanrudder/controllers/instances.py
+++ b/toucanrudder/controllers/instances.py
@@ -70,7 +70,7 @@
         failures = 0
         while True:
             try:
-                self._table.listed(await self._list())
+                self._table.replace(await self._list())
                 failures = 0
                 pause_s = interval_s(self._routers())
                 await asyncio.sleep(pause_s * self._rng.uniform(0.75, 1.0))
--- a/toucanrudder/forwarding/peering.py
+++ b/toucanrudder/forwarding/peering.py
@@ -205,5 +205,5 @@
         rng=rng,
         decode=decode,
     )
-    state.live_routers = lambda: node.table.count(time.monotonic())
+    state.live_routers = lambda: node.table.live_count(time.monotonic())
     return peerings.Peering(node, client, None, "", encode)
--- a/toucanrudder/membership/__init__.py
+++ b/toucanrudder/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which routers and upstreams are live."""
+"""Liveness of routers and upstreams."""
--- a/toucanrudder/membership/instances.py
+++ b/toucanrudder/membership/instances.py
@@ -1,7 +1,7 @@
-"""Which upstreams must get no new work because they are leaving.  No I/O.
+"""Tracks upstreams that must get no new work as they leave.  No I/O.
 
-Two tell: the platform's list, which lags, and the upstream's own load
-report.  Whichever says "leaving" first counts.
+There are two sources: the platform's instance list, which lags, and the
+upstream's own load report.  Whichever says "leaving" first counts.
 """
 
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class Instance:
-    """One row of the platform's list."""
+    """One row of the platform's instance list."""
 
     name: str
     kind: str
@@ -23,43 +23,44 @@
 
 
 class InstanceTable:
-    """The platform's last word on each instance.
+    """The last known state of each instance in the platform's list.
 
     Examples
     --------
     >>> table = InstanceTable()
-    >>> table.listed([Instance("e1", "upstream", "10.0.0.1:80", "leaving")])
-    >>> table.is_leaving("e1", own_state="live")
+    >>> table.replace([Instance("e1", "upstream", "10.0.0.1:80", "leaving")])
+    >>> table.is_leaving("e1", reported_state="live")
     True
-    >>> table.is_leaving("e2", own_state="leaving")
+    >>> table.is_leaving("e2", reported_state="leaving")
     True
     """
 
     def __init__(self) -> None:
         self._states: dict[str, str] = {}
 
-    def listed(self, instances: Iterable[Instance]) -> None:
+    def replace(self, instances: Iterable[Instance]) -> None:
         """Replace the list.
 
-        The last list stays in force while the store is down: an instance
-        that was leaving does not come back because nobody can say so.
+        The last list stays in force while the platform cannot be reached,
+        so that a leaving instance does not count as live again.
         """
-        self._states = {each.name: each.state for each in instances}
+        self._states = {row.name: row.state for row in instances}
 
-    def is_leaving(self, name: str, own_state: str | None) -> bool:
-        """Say whether the upstream must get no new work.
+    def is_leaving(self, name: str, reported_state: str | None) -> bool:
+        """Return whether the upstream must get no new work.
 
         Parameters
         ----------
         name : str
             The upstream's name.
-        own_state : str or None
-            What its last load report says; None before the first one.
+        reported_state : str or None
+            State in its last load report; None before the first one.
 
         Returns
         -------
         bool
-            An instance that the platform does not list is judged by its
-            own word alone: the list lags, so a new one is missing there.
+            For an instance that is not in the platform's list, only the
+            reported state counts: the list lags, so a new instance is not
+            in it yet.
         """
-        return LEAVING in (self._states.get(name), own_state)
+        return LEAVING in (self._states.get(name), reported_state)
--- a/toucanrudder/membership/routers.py
+++ b/toucanrudder/membership/routers.py
@@ -1,9 +1,10 @@
-"""Which routers are live, worked out from heartbeats.  No I/O.
+"""Failure detection of routers from gossiped heartbeats.  No I/O.
 
 A router's heartbeats carry its incarnation (the wall clock at its start,
-in milliseconds) and a beat that rises by one.  Routers pass on what they
-know of others, so each needs to hear only a few of them itself: those that
-came or changed as a whole, of all others how far they have come.
+in milliseconds) and a beat, a counter that rises by one.  Routers gossip
+what they know of others, so each exchanges heartbeats with only a few:
+new and changed members are sent in full, of the others only the newest
+beats, in a digest.
 """
 
 from collections.abc import Iterable
@@ -15,30 +16,30 @@
 
 import attrs
 
-#: Silences after which a dead router is forgotten.  Its last beat must be
-#: remembered until no router passes it on any more; else two routers
-#: would keep telling each other that it has just been heard.
-FORGET_SILENCES = 20
+#: Multiple of `silent_s` after which a dead router is forgotten.  Its last
+#: beat must be remembered until no router gossips it any more; otherwise
+#: two routers would keep reporting it to each other as just heard.
+FORGET_FACTOR = 20
 
-#: Routers remembered, live or dead: a peer's fault must not fill this
-#: router's memory.
+#: Routers remembered, live or dead; bounds the memory that a faulty peer
+#: can fill.
 MAX_ROUTERS = 2_048
 
-#: Age up to which progress is news to most others.
-FRESH_S = 1.0
+#: Age up to which a beat is probably unknown to most other routers.
+DIGEST_FRESH_S = 1.0
 
-#: Time for which a router that came or changed is told whole.
-NEWS_S = 5.0
+#: Time for which a new or changed member is gossiped in full.
+NEW_MEMBER_S = 5.0
 
-#: Most beats of a router in a second, and the time of what may have been
-#: sent before the last one was heard of.
+#: Highest plausible rate of a router's beats, and the delay allowed for
+#: beats that were sent before the last one was received.
 MAX_BEATS_PER_S = 1_000
-SLACK_S = 1.0
+BEAT_SLACK_S = 1.0
 
 
 @attrs.frozen
 class Member:
-    """A router as it is told of.
+    """A router as gossiped between routers.
 
     Parameters
     ----------
@@ -62,29 +63,29 @@
 
     @property
     def progress(self) -> tuple[int, int]:
-        """What only the router itself can make rise."""
+        """Incarnation and beat, which only the router itself increases."""
         return (self.incarnation, self.beat)
 
     def with_beat(self, beat: int) -> "Member":
-        """Return the same with another beat."""
+        """Return this member with another beat."""
         if beat == self.beat:
             return self
         return attrs.evolve(self, beat=beat)
 
     @property
     def description(self) -> tuple[str, str, int, bool]:
-        """All but the beat."""
+        """All fields but the beat."""
         return self.name, self.address, self.incarnation, self.leaving
 
 
 @attrs.frozen
 class Digest:
-    """How far some routers have come, in few bytes.
+    """The newest beats of some routers, in few bytes.
 
     Parameters
     ----------
     keys : sequence of int
-        Their keys (see `key_of`).
+        The routers' keys (see `digest_key`).
     beats : sequence of int
         Their newest beats, in the same order.
     """
@@ -98,65 +99,65 @@
 
 
 @functools.lru_cache(maxsize=2 * MAX_ROUTERS)
-def key_of(name: str, incarnation: int) -> int:
-    """Return what names one start of a router in a digest, of 32 bits."""
+def digest_key(name: str, incarnation: int) -> int:
+    """Return the 32-bit key of one start of a router in digests."""
     text = f"{name}/{incarnation}".encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=4).digest())
 
 
 @attrs.define(eq=False)
-class _Known:
+class _Entry:
     """What is known of one router.
 
     Parameters
     ----------
     member : Member
-        As it was last told whole; its beat may be behind.
+        As last received in full; its beat may be out of date.
     key : int
-        In digests.
+        Key in digests.
     beat : int
-        The newest.
-    heard_s : float
-        When it last rose.
+        Newest beat.
+    last_heard_s : float
+        When the beat last rose.
     changed_s : float
-        When the rest last changed.
+        When any other field last changed.
     """
 
     member: Member
     key: int
     beat: int
-    heard_s: float
+    last_heard_s: float
     changed_s: float
 
     def current(self) -> Member:
         return self.member.with_beat(self.beat)
 
-    def may_have(self, beat: int, now_s: float) -> bool:
-        """Whether the router can have come so far.
+    def is_plausible(self, beat: int, now_s: float) -> bool:
+        """Return whether the router can have reached this beat.
 
-        Failure: a peer tells of a beat that is far ahead.  Symptom: all
-        that the router says of itself seems old, and it counts as dead
-        for ever.
+        If a beat far in the future were accepted from a peer, all later
+        heartbeats of the router itself would seem old and the router would
+        count as dead for ever.
         """
-        since_s = max(0.0, now_s - self.heard_s) + SLACK_S
-        return beat <= self.beat + MAX_BEATS_PER_S * since_s
+        elapsed_s = max(0.0, now_s - self.last_heard_s) + BEAT_SLACK_S
+        return beat <= self.beat + MAX_BEATS_PER_S * elapsed_s
 
 
 class RouterTable:
-    """Routers heard of, without this one.
+    """All known routers except this one.
 
-    The routers that are live are worked out when one comes, goes or falls
-    silent, not at each question: all periodic work begins by asking.
+    The set of live routers is recomputed when one joins, leaves or times
+    out, not on each query: all periodic work begins by a query.
 
     Parameters
     ----------
     silent_s : float
-        Silence after which a router counts as gone.
+        Seconds without a heartbeat after which a router counts as dead.
 
     Examples
     --------
     >>> table = RouterTable(silent_s=3.0)
-    >>> table.heard("r2", "10.0.0.2:8082", incarnation=7, now_s=0.0)
+    >>> table.record_heartbeat("r2", "10.0.0.2:8082", incarnation=7, now_s=0.0)
     >>> [member.name for member in table.live(now_s=2.0)]
     ['r2']
     >>> table.live(now_s=3.5)
@@ -165,22 +166,22 @@
 
     def __init__(self, silent_s: float):
         self._silent_s = silent_s
-        self._known: dict[str, _Known] = {}
-        # None where two have the same key: a digest tells of neither.
-        self._by_key: dict[int, _Known | None] = {}
-        self._reached: tuple[_Known, ...] = ()
+        self._entries: dict[str, _Entry] = {}
+        # None where two routers have the same key: digests cover neither.
+        self._by_key: dict[int, _Entry | None] = {}
+        self._reachable: tuple[_Entry, ...] = ()
         self._peers: tuple[Member, ...] = ()
         self._live: tuple[Member, ...] = ()
         self._valid_until_s = float("-inf")
-        # Keys in digests of routers that are not known, and since when.
-        self._wanted_s: dict[int, float] = {}
+        # Unknown keys received in digests, and since when.
+        self._missing_since_s: dict[int, float] = {}
         self._own_key: int | None = None
 
-    def is_kept_by(self, name: str, incarnation: int) -> None:
-        """Note whose table this is: it wants no word of itself."""
-        self._own_key = key_of(name, incarnation)
+    def set_own_identity(self, name: str, incarnation: int) -> None:
+        """Set this router's own identity, which is never missing here."""
+        self._own_key = digest_key(name, incarnation)
 
-    def heard(
+    def record_heartbeat(
         self,
         name: str,
         address: str,
@@ -190,209 +191,224 @@
         beat: int = 0,
         leaving: bool = False,
     ) -> None:
-        """Note a heartbeat from the router itself.
+        """Record a heartbeat received from the router itself.
 
-        It is taken whatever it says: a replaced instance may have the
-        same name and a clock that is behind.
+        It is accepted even if its incarnation is older than the known one:
+        a replaced instance may have the same name and a clock that is
+        behind.
         """
-        self._put(Member(name, address, incarnation, beat, leaving), now_s)
+        self._store(Member(name, address, incarnation, beat, leaving), now_s)
 
-    def told(self, member: Member, now_s: float) -> bool:
-        """Note what another router passed on; say whether it can be true.
+    def record_gossip(self, member: Member, now_s: float) -> bool:
+        """Record a member gossiped by another; return if it is plausible.
 
-        Only progress counts as life.  The same beat told again proves
-        nothing, or a dead router would live for as long as two others
-        tell each other of it.
+        Only a newer beat or incarnation shows that the router is live.  If
+        a repeated beat did, a dead router would stay live for as long as
+        two others gossip it to each other.
         """
-        known = self._known.get(member.name)
-        if known is None:
-            if len(self._known) >= MAX_ROUTERS:
+        entry = self._entries.get(member.name)
+        if entry is None:
+            if len(self._entries) >= MAX_ROUTERS:
                 return False
-            self._put(member, now_s)
+            self._store(member, now_s)
             return True
-        progress = (known.member.incarnation, known.beat)
+        progress = (entry.member.incarnation, entry.beat)
         if member.progress <= progress:
             return True
-        is_same = member.incarnation == known.member.incarnation
-        if is_same and not known.may_have(member.beat, now_s):
+        is_same = member.incarnation == entry.member.incarnation
+        if is_same and not entry.is_plausible(member.beat, now_s):
             return False
-        self._put(member, now_s)
+        self._store(member, now_s)
         return True
 
-    def told_digest(self, digest: Digest, now_s: float) -> bool:
-        """Note the progress in a digest; say whether all can be true.
+    def record_digest(self, digest: Digest, now_s: float) -> bool:
+        """Record the beats of a digest; return whether all are plausible.
 
-        Routers that are not known here are wanted whole.
+        Unknown keys are noted, to be requested in full.
         """
-        is_good = True
+        all_plausible = True
         for key, beat in zip(digest.keys, digest.beats, strict=True):
-            known = self._by_key.get(key)
-            if known is None:
-                self._want(key, now_s)
+            entry = self._by_key.get(key)
+            if entry is None:
+                self._note_missing(key, now_s)
                 continue
-            if beat <= known.beat:
+            if beat <= entry.beat:
                 continue
-            if known.may_have(beat, now_s):
-                self._note(known, beat, now_s)
+            if entry.is_plausible(beat, now_s):
+                self._store_beat(entry, beat, now_s)
             else:
-                is_good = False
-        return is_good
+                all_plausible = False
+        return all_plausible
 
-    def _want(self, key: int, now_s: float) -> None:
+    def _note_missing(self, key: int, now_s: float) -> None:
         is_new = key not in self._by_key and key != self._own_key
-        if is_new and len(self._wanted_s) < MAX_ROUTERS:
-            self._wanted_s.setdefault(key, now_s)
+        if is_new and len(self._missing_since_s) < MAX_ROUTERS:
+            self._missing_since_s.setdefault(key, now_s)
 
-    def wanted(self, most: int, now_s: float) -> tuple[int, ...]:
-        """Return keys of routers that others know and this one does not.
+    def missing_keys(self, most: int, now_s: float) -> tuple[int, ...]:
+        """Return keys of routers that peers know and this one does not.
 
-        A router that is gone before it was known is not wanted for ever.
+        A key is dropped after `silent_s`, as its router may have died
+        before it became known here.
         """
         oldest_s = now_s - self._silent_s
-        self._wanted_s = {
+        self._missing_since_s = {
             key: since_s
-            for key, since_s in self._wanted_s.items()
+            for key, since_s in self._missing_since_s.items()
             if since_s >= oldest_s
         }
-        return tuple(itertools.islice(self._wanted_s, most))
+        return tuple(itertools.islice(self._missing_since_s, most))
 
-    def whole(self, keys: Iterable[int], now_s: float) -> tuple[Member, ...]:
-        """Return those of the routers with these keys that are reachable."""
-        found = filter(None, map(self._by_key.get, keys))
+    def members_by_key(
+        self, keys: Iterable[int], now_s: float
+    ) -> tuple[Member, ...]:
+        """Return the reachable routers with these digest keys."""
+        entries = filter(None, map(self._by_key.get, keys))
         return tuple(
-            known.current()
-            for known in found
-            if now_s - known.heard_s <= self._silent_s
+            entry.current()
+            for entry in entries
+            if now_s - entry.last_heard_s <= self._silent_s
         )
 
     def digest(self, most: int, now_s: float, rng: random.Random) -> Digest:
-        """Return how far the routers have come that were heard of lately.
+        """Return the newest beats of the reachable routers.
 
         Parameters
         ----------
         most : int
-            Of more routers, as many are drawn, of those heard of within
-            `FRESH_S`: what is older, others have told already.
+            Largest number of routers.  If there are more, a sample is
+            taken, from those heard within `DIGEST_FRESH_S` if enough of
+            them are: older beats have been gossiped already.
         now_s : float
             Monotonic time.
         rng : random.Random
-            Draws.
+            Source of the sample.
         """
         self._refresh(now_s)
-        told = self._reached
-        if len(told) > most:
-            fresh = [k for k in told if now_s - k.heard_s <= FRESH_S]
-            told = rng.sample(fresh if len(fresh) >= most else told, most)
+        entries = self._reachable
+        if len(entries) > most:
+            fresh = [
+                e for e in entries if now_s - e.last_heard_s <= DIGEST_FRESH_S
+            ]
+            entries = rng.sample(
+                fresh if len(fresh) >= most else entries, most
+            )
         return Digest(
-            [known.key for known in told], [known.beat for known in told]
+            [entry.key for entry in entries],
+            [entry.beat for entry in entries],
         )
 
-    def news(
+    def members_to_gossip(
         self, most: int, others: int, now_s: float, rng: random.Random
     ) -> tuple[Member, ...]:
-        """Return routers to be told whole: those that came or changed.
+        """Return the members to gossip in full: new, changed and a sample.
 
         Parameters
         ----------
         most : int
-            Of those.
+            Largest number of members.
         others : int
-            Drawn from the rest, for who has not heard of them in time.
+            Size of the sample of all members, for peers that missed an
+            earlier announcement.
         now_s : float
             Monotonic time.
         rng : random.Random
-            Draws.
+            Source of the samples.
         """
         self._refresh(now_s)
-        new = [k for k in self._reached if now_s - k.changed_s <= NEWS_S]
-        told = rng.sample(new, min(most, len(new)))
-        room = min(others, most - len(told), len(self._reached))
-        told += rng.sample(self._reached, room)
-        return tuple(known.current() for known in told)
+        new = [
+            e for e in self._reachable if now_s - e.changed_s <= NEW_MEMBER_S
+        ]
+        chosen = rng.sample(new, min(most, len(new)))
+        room = min(others, most - len(chosen), len(self._reachable))
+        chosen += rng.sample(self._reachable, room)
+        return tuple(entry.current() for entry in chosen)
 
     def live(self, now_s: float) -> tuple[Member, ...]:
-        """Return the routers that are live and stay, by name.
+        """Return the live routers that are not stopping, by name.
 
-        The same tuple until one comes or goes; their beats may be behind.
+        The same tuple until one joins or leaves; beats may be out of date.
         """
         self._refresh(now_s)
         return self._live
 
     def peers(self, now_s: float) -> tuple[Member, ...]:
-        """Return the same with those that are stopping."""
+        """Return the live routers, including those that are stopping."""
         self._refresh(now_s)
         return self._peers
 
     def reachable(self, now_s: float) -> tuple[Member, ...]:
-        """Return the same as `peers`, with their newest beats."""
+        """Return the members of `peers` with their newest beats."""
         self._refresh(now_s)
-        return tuple(known.current() for known in self._reached)
+        return tuple(entry.current() for entry in self._reachable)
 
     def silence_s(self, name: str, now_s: float) -> float:
-        """Return the seconds since a known router was last heard of."""
-        return now_s - self._known[name].heard_s
+        """Return the seconds since a known router's beat last rose."""
+        return now_s - self._entries[name].last_heard_s
 
-    def count(self, now_s: float) -> int:
-        """Return the live routers, this one included, for shared limits."""
+    def live_count(self, now_s: float) -> int:
+        """Return the number of live routers, this one included."""
         return 1 + len(self.live(now_s))
 
-    def numbers(self, now_s: float) -> dict[str, int]:
-        """Return how many others are live, are stopping, and are silent."""
-        live, reached = len(self.live(now_s)), len(self.peers(now_s))
-        silent = len(self._known) - reached
-        return {"live": live, "stopping": reached - live, "silent": silent}
+    def count_by_state(self, now_s: float) -> dict[str, int]:
+        """Return how many other routers are live, stopping and silent."""
+        live, reachable = len(self.live(now_s)), len(self.peers(now_s))
+        silent = len(self._entries) - reachable
+        return {"live": live, "stopping": reachable - live, "silent": silent}
 
-    def _put(self, member: Member, now_s: float) -> None:
-        known = self._known.get(member.name)
-        if known is not None and (
-            known.member.description == member.description
+    def _store(self, member: Member, now_s: float) -> None:
+        entry = self._entries.get(member.name)
+        if entry is not None and (
+            entry.member.description == member.description
         ):
-            self._note(known, member.beat, now_s)
+            self._store_beat(entry, member.beat, now_s)
             return
-        if known is not None:
+        if entry is not None:
             self._forget(member.name)
-        key = key_of(member.name, member.incarnation)
-        known = _Known(member, key, member.beat, now_s, now_s)
-        self._known[member.name] = known
-        self._by_key[key] = None if key in self._by_key else known
-        self._wanted_s.pop(key, None)
+        key = digest_key(member.name, member.incarnation)
+        entry = _Entry(member, key, member.beat, now_s, now_s)
+        self._entries[member.name] = entry
+        self._by_key[key] = None if key in self._by_key else entry
+        self._missing_since_s.pop(key, None)
         self._valid_until_s = float("-inf")
 
-    def _note(self, known: _Known, beat: int, now_s: float) -> None:
-        if now_s - known.heard_s > self._silent_s:
+    def _store_beat(self, entry: _Entry, beat: int, now_s: float) -> None:
+        if now_s - entry.last_heard_s > self._silent_s:
             self._valid_until_s = float("-inf")
-        known.beat, known.heard_s = beat, now_s
+        entry.beat, entry.last_heard_s = beat, now_s
 
     def _refresh(self, now_s: float) -> None:
-        """Work out who is live, unless nobody can have come or gone."""
+        """Recompute the live routers, unless they cannot have changed."""
         if now_s <= self._valid_until_s:
             return
-        self._forget_old(now_s)
-        self._reached = tuple(
-            known
-            for _, known in sorted(self._known.items())
-            if now_s - known.heard_s <= self._silent_s
+        self._forget_expired(now_s)
+        self._reachable = tuple(
+            entry
+            for _, entry in sorted(self._entries.items())
+            if now_s - entry.last_heard_s <= self._silent_s
+        )
+        self._peers = tuple(entry.member for entry in self._reachable)
+        self._live = tuple(peer for peer in self._peers if not peer.leaving)
+        oldest_s = min(
+            (e.last_heard_s for e in self._reachable), default=now_s
         )
-        self._peers = tuple(known.member for known in self._reached)
-        self._live = tuple(each for each in self._peers if not each.leaving)
-        oldest_s = min((k.heard_s for k in self._reached), default=now_s)
         self._valid_until_s = oldest_s + self._silent_s
 
-    def _forget_old(self, now_s: float) -> None:
-        oldest_s = now_s - FORGET_SILENCES * self._silent_s
-        gone = [
+    def _forget_expired(self, now_s: float) -> None:
+        oldest_s = now_s - FORGET_FACTOR * self._silent_s
+        expired = [
             name
-            for name, known in self._known.items()
-            if known.heard_s < oldest_s
+            for name, entry in self._entries.items()
+            if entry.last_heard_s < oldest_s
         ]
-        for name in gone:
+        for name in expired:
             self._forget(name)
 
     def _forget(self, name: str) -> None:
-        known = self._known.pop(name)
-        del self._by_key[known.key]
-        twins = [k for k in self._known.values() if k.key == known.key]
-        if len(twins) == 1:
-            self._by_key[known.key] = twins[0]
-        elif twins:
-            self._by_key[known.key] = None
+        entry = self._entries.pop(name)
+        del self._by_key[entry.key]
+        colliding = [e for e in self._entries.values() if e.key == entry.key]
+        if len(colliding) == 1:
+            self._by_key[entry.key] = colliding[0]
+        elif colliding:
+            self._by_key[entry.key] = None
--- a/toucanrudder/membership/tests/test_routers.py
+++ b/toucanrudder/membership/tests/test_routers.py
@@ -13,12 +13,12 @@
     return routers.Member(name, f"{name}:1", incarnation, beat, leaving)
 
 
-def names(table, now_s):
-    return [each.name for each in table.live(now_s)]
+def live_names(table, now_s):
+    return [router.name for router in table.live(now_s)]
 
 
-TOLD = [
-    # What was known, what is told 2 s later, live 4 s after the first.
+GOSSIP = [
+    # Known member, member gossiped 2 s later, live 4 s after the first.
     (member("a", 1, 5), member("a", 1, 6), ["a"]),
     (member("a", 1, 5), member("a", 1, 5), []),
     (member("a", 1, 5), member("a", 1, 4), []),
@@ -29,46 +29,46 @@
 ]
 
 
-@pytest.mark.parametrize(("known", "told", "live"), TOLD)
-def test_only_progress_counts_as_life(known, told, live):
+@pytest.mark.parametrize(("known", "gossiped", "live"), GOSSIP)
+def test_only_a_newer_beat_keeps_a_router_live(known, gossiped, live):
     table = routers.RouterTable(SILENT_S)
-    table.told(known, 0.0)
-    table.told(told, 2.0)
-    assert names(table, 4.0) == live
+    table.record_gossip(known, 0.0)
+    table.record_gossip(gossiped, 2.0)
+    assert live_names(table, 4.0) == live
 
 
-def test_a_replaced_instance_with_a_clock_behind_is_heard():
+def test_a_replaced_instance_with_a_clock_behind_is_accepted():
     table = routers.RouterTable(SILENT_S)
-    table.told(member("a", incarnation=900), 0.0)
-    table.heard("a", "new:1", 100, 1.0, beat=1)
-    (found,) = table.live(1.0)
-    assert (found.address, found.incarnation) == ("new:1", 100)
+    table.record_gossip(member("a", incarnation=900), 0.0)
+    table.record_heartbeat("a", "new:1", 100, 1.0, beat=1)
+    (live,) = table.live(1.0)
+    assert (live.address, live.incarnation) == ("new:1", 100)
 
 
 def test_two_routers_do_not_keep_a_dead_one_alive():
-    """A dead router leaves the shared limits' divisor for good.
+    """A dead router stays in the divisor of shared limits for ever.
 
-    Two routers tell each other of a third that has died.  Each could
-    take the other's word for fresh news, for ever.
+    Two routers gossip a third that has died to each other, and each takes
+    the other's gossip for a fresh heartbeat.
     """
     one, two = (routers.RouterTable(SILENT_S) for _ in range(2))
-    one.heard("dead", "dead:1", 1, 0.0, beat=7)
+    one.record_heartbeat("dead", "dead:1", 1, 0.0, beat=7)
     for step in range(400):
         now_s = step * 0.5
-        for teller, listener in ((one, two), (two, one)):
-            for told in teller.reachable(now_s):
-                listener.told(told, now_s)
+        for sender, receiver in ((one, two), (two, one)):
+            for gossiped in sender.reachable(now_s):
+                receiver.record_gossip(gossiped, now_s)
         if now_s > 2 * SILENT_S:
             assert one.live(now_s) == two.live(now_s) == ()
 
 
-def gossiped(size, peers, told_members):
-    """Yield the tables of a fleet after each beat of half a second."""
+def simulate_gossip(size, peers, members_per_heartbeat):
+    """Yield time and tables of a fleet after each beat of half a second."""
     rng = random.Random(1)
     tables = [routers.RouterTable(SILENT_S) for _ in range(size)]
     everyone = [member(f"r{i}") for i in range(size)]
     for i, table in enumerate(tables):
-        table.told(everyone[(i + 1) % size], 0.0)
+        table.record_gossip(everyone[(i + 1) % size], 0.0)
     for beat in range(1, 60):
         now_s = beat * 0.5
         for i, table in enumerate(tables):
@@ -76,100 +76,100 @@
             for peer in rng.sample(known, min(peers, len(known))):
                 j = int(peer.name[1:])
                 for source, target in ((i, j), (j, i)):
-                    heard = everyone[source]
-                    tables[target].heard(
-                        heard.name, heard.address, 1, now_s, beat=beat
+                    sender = everyone[source]
+                    tables[target].record_heartbeat(
+                        sender.name, sender.address, 1, now_s, beat=beat
                     )
-                    told = tables[source].reachable(now_s)
-                    count = min(told_members, len(told))
-                    for each in rng.sample(told, count):
-                        if each.name != everyone[target].name:
-                            tables[target].told(each, now_s)
+                    candidates = tables[source].reachable(now_s)
+                    count = min(members_per_heartbeat, len(candidates))
+                    for gossiped in rng.sample(candidates, count):
+                        if gossiped.name != everyone[target].name:
+                            tables[target].record_gossip(gossiped, now_s)
         yield now_s, tables
 
 
 @pytest.mark.parametrize("size", [2, 8, 24])
 def test_gossip_keeps_all_routers_live(size):
-    *_, (_, tables) = gossiped(size, 8, 16)
-    assert {table.count(30.0) for table in tables} == {size}
+    *_, (_, tables) = simulate_gossip(size, 8, 16)
+    assert {table.live_count(30.0) for table in tables} == {size}
 
 
-def test_few_exchanges_keep_a_large_fleet_together():
-    # 82 routers, each with the exchanges that a router of many begins.  A
-    # router that is forgotten for a moment makes the others take more of
-    # the limits that all share.
-    fewest = min(
-        table.count(now_s)
-        for now_s, tables in gossiped(
+def test_few_exchanges_keep_a_large_fleet_live():
+    # 82 routers, each with as many exchanges as in a large fleet.  If a live
+    # router times out for a moment, the others take too large a share of
+    # the shared limits.
+    min_live = min(
+        table.live_count(now_s)
+        for now_s, tables in simulate_gossip(
             82, client.MAX_PEERS_OF_MANY, node.MAX_TOLD_MEMBERS
         )
         if now_s > 2 * SILENT_S
         for table in tables
     )
-    assert fewest >= 81
+    assert min_live >= 81
 
 
-def known_at_beat(beat, now_s):
+def table_with_beat(beat, now_s):
     table = routers.RouterTable(SILENT_S)
-    table.told(member("a", 1, beat), now_s)
+    table.record_gossip(member("a", 1, beat), now_s)
     return table
 
 
-KEY = routers.key_of("a", 1)
+KEY = routers.digest_key("a", 1)
 
 DIGESTS = [
-    # Key, beat, whether it can be, live 4 s after the first word.
+    # Key, beat, whether it is plausible, live 4 s after the first gossip.
     (KEY, 6, True, ["a"]),
     (KEY, 5, True, []),
     (KEY, 4, True, []),
     (KEY, 10**9, False, []),
-    (routers.key_of("a", 2), 6, True, []),
-    (routers.key_of("b", 1), 6, True, []),
+    (routers.digest_key("a", 2), 6, True, []),
+    (routers.digest_key("b", 1), 6, True, []),
 ]
 
 
-@pytest.mark.parametrize(("key", "beat", "is_good", "live"), DIGESTS)
-def test_a_digest_tells_of_progress_alone(key, beat, is_good, live):
-    table = known_at_beat(5, 0.0)
+@pytest.mark.parametrize(("key", "beat", "plausible", "live"), DIGESTS)
+def test_a_digest_updates_known_routers_only(key, beat, plausible, live):
+    table = table_with_beat(5, 0.0)
     digest = routers.Digest([key], [beat])
-    assert table.told_digest(digest, 2.0) is is_good
-    assert names(table, 4.0) == live
-    # What it really says next is taken.
-    assert table.told(member("a", 1, 7), 4.0)
-    assert names(table, 4.0) == ["a"]
+    assert table.record_digest(digest, 2.0) is plausible
+    assert live_names(table, 4.0) == live
+    # The router's next real beat is accepted.
+    assert table.record_gossip(member("a", 1, 7), 4.0)
+    assert live_names(table, 4.0) == ["a"]
 
 
-def test_a_beat_from_the_future_is_not_taken():
-    table = known_at_beat(5, 0.0)
-    assert not table.told(member("a", 1, 10**9), 2.0)
-    assert names(table, 4.0) == []
+def test_an_implausible_beat_is_rejected():
+    table = table_with_beat(5, 0.0)
+    assert not table.record_gossip(member("a", 1, 10**9), 2.0)
+    assert live_names(table, 4.0) == []
 
 
-def test_routers_that_do_not_exist_fill_no_memory():
+def test_the_number_of_remembered_routers_is_bounded():
     table = routers.RouterTable(SILENT_S)
-    taken = [
-        table.told(member(f"r{number}"), 0.0)
+    accepted = [
+        table.record_gossip(member(f"r{number}"), 0.0)
         for number in range(routers.MAX_ROUTERS + 10)
     ]
-    assert taken.count(False) == 10
-    table.heard("real", "real:1", 1, 0.0)
-    assert "real" in names(table, 0.0)
+    assert accepted.count(False) == 10
+    table.record_heartbeat("real", "real:1", 1, 0.0)
+    assert "real" in live_names(table, 0.0)
 
 
-def test_two_routers_of_one_key_are_told_whole_only(monkeypatch):
-    # The one would live by the other's beats.
-    monkeypatch.setattr(routers, "key_of", lambda name, incarnation: 7)
+def test_digests_ignore_routers_with_colliding_keys(monkeypatch):
+    # Otherwise one router's beats would keep the other one live.
+    monkeypatch.setattr(routers, "digest_key", lambda name, incarnation: 7)
     table = routers.RouterTable(SILENT_S)
     for name in ("a", "b"):
-        table.told(member(name, 1, 5), 0.0)
-    table.told_digest(routers.Digest([7], [9]), 2.0)
-    assert names(table, 4.0) == []
-    table.heard("a", "a:1", 2, 4.0, beat=1)
-    assert names(table, 4.0) == ["a"]
+        table.record_gossip(member(name, 1, 5), 0.0)
+    table.record_digest(routers.Digest([7], [9]), 2.0)
+    assert live_names(table, 4.0) == []
+    table.record_heartbeat("a", "a:1", 2, 4.0, beat=1)
+    assert live_names(table, 4.0) == ["a"]
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_who_is_live_is_what_the_plain_rule_says(seed):
+def test_live_routers_agree_with_a_reference_model(seed):
     rng = random.Random(seed)
     table, last_s, leaving = routers.RouterTable(SILENT_S), {}, {}
     beats, now_s = dict.fromkeys("abcdef", 1), 0.0
@@ -178,37 +178,37 @@
         name = rng.choice("abcdef")
         beats[name] += 1
         leaving.setdefault(name, False)
-        how = rng.randrange(3)
-        if how == 2 and name in last_s:
-            key = routers.key_of(name, 1)
-            table.told_digest(routers.Digest([key], [beats[name]]), now_s)
+        channel = rng.randrange(3)
+        if channel == 2 and name in last_s:
+            key = routers.digest_key(name, 1)
+            table.record_digest(routers.Digest([key], [beats[name]]), now_s)
         else:
             leaving[name] = rng.random() < 0.2
-            said = member(name, 1, beats[name], leaving[name])
-            if how:
-                table.told(said, now_s)
+            sent = member(name, 1, beats[name], leaving[name])
+            if channel:
+                table.record_gossip(sent, now_s)
             else:
-                table.heard(
+                table.record_heartbeat(
                     name,
-                    said.address,
+                    sent.address,
                     1,
                     now_s,
-                    beat=said.beat,
-                    leaving=said.leaving,
+                    beat=sent.beat,
+                    leaving=sent.leaving,
                 )
         last_s[name] = now_s
         now_s += rng.choice((0.0, 0.5, 2.0))
-        lately = [n for n in sorted(last_s) if now_s - last_s[n] <= SILENT_S]
-        assert [m.name for m in table.reachable(now_s)] == lately
-        assert names(table, now_s) == [n for n in lately if not leaving[n]]
-        assert all(
-            each.beat == beats[each.name] for each in table.reachable(now_s)
-        )
+        recent = [n for n in sorted(last_s) if now_s - last_s[n] <= SILENT_S]
+        assert [m.name for m in table.reachable(now_s)] == recent
+        assert live_names(table, now_s) == [
+            n for n in recent if not leaving[n]
+        ]
+        assert all(m.beat == beats[m.name] for m in table.reachable(now_s))
 
 
 def test_members_are_counted_by_state():
     table = routers.RouterTable(SILENT_S)
-    table.heard("a", "a:1", 1, 0.0)
-    table.heard("b", "b:1", 1, 4.0)
-    table.heard("c", "c:1", 1, 4.0, leaving=True)
-    assert table.numbers(4.5) == {"live": 1, "stopping": 1, "silent": 1}
+    table.record_heartbeat("a", "a:1", 1, 0.0)
+    table.record_heartbeat("b", "b:1", 1, 4.0)
+    table.record_heartbeat("c", "c:1", 1, 4.0, leaving=True)
+    assert table.count_by_state(4.5) == {"live": 1, "stopping": 1, "silent": 1}
--- a/toucanrudder/peers/node.py
+++ b/toucanrudder/peers/node.py
@@ -142,7 +142,7 @@
         self._beat = 0
         self._heartbeats = 0
         self._generations: dict[str, int] = {}
-        table.is_kept_by(name, incarnation)
+        table.set_own_identity(name, incarnation)
 
     def generations(self, now_s: float) -> dict[str, int]:
         """Return the generation last told by each reachable router."""
@@ -184,9 +184,9 @@
         wanted : sequence of int
             Keys of routers that a peer asks for.
         """
-        members = self.table.news(
+        members = self.table.members_to_gossip(
             MAX_TOLD_MEMBERS, OTHERS_TOLD, now_s, self._rng
-        ) + self.table.whole(wanted[:MAX_WANTED], now_s)
+        ) + self.table.members_by_key(wanted[:MAX_WANTED], now_s)
         self._heartbeats += 1
         return attrs.evolve(
             self.urgent(now_s, wall_s, tell_all=tell_all),
@@ -196,7 +196,7 @@
             members=members,
             want_all=self._heartbeats % ASK_ALL_EVERY == 1,
             digest=self.table.digest(MAX_DIGEST, now_s, self._rng),
-            wanted=self.table.wanted(MAX_WANTED, now_s),
+            wanted=self.table.missing_keys(MAX_WANTED, now_s),
         )
 
     def urgent(
@@ -254,7 +254,7 @@
         sender = heartbeat.sender
         if sender.name == self.name:
             return
-        self.table.heard(
+        self.table.record_heartbeat(
             sender.name,
             sender.address,
             sender.incarnation,
@@ -269,10 +269,10 @@
     def _heard_of_others(
         self, heartbeat: messages.Heartbeat, now_s: float
     ) -> None:
-        is_good = self.table.told_digest(heartbeat.digest, now_s)
+        is_good = self.table.record_digest(heartbeat.digest, now_s)
         for member in heartbeat.members:
             if member.name != self.name:
-                is_good &= self.table.told(member, now_s)
+                is_good &= self.table.record_gossip(member, now_s)
         if not is_good:
             refused("impossible_member")
             LOG.warning(
--- a/toucanrudder/peers/tests/test_peers.py
+++ b/toucanrudder/peers/tests/test_peers.py
@@ -196,16 +196,16 @@
     peers.news(heard)
     now_s = peers._heard_s[addresses[3]]
     for address in addresses[:4]:
-        router.table.heard(address, address, 1, now_s)
+        router.table.record_heartbeat(address, address, 1, now_s)
     calm = peers._targets(now_s, hurried=False)
     assert sorted(calm) == addresses[:3]
     assert sorted(peers._targets(now_s, hurried=True)) == addresses[:4]
     assert addresses[3] in peers._unheard(addresses, now_s + 0.8)
     for address in addresses[: client.MANY_ROUTERS]:
-        router.table.heard(address, address, 1, now_s)
+        router.table.record_heartbeat(address, address, 1, now_s)
     assert len(peers._targets(now_s, hurried=False)) == client.MAX_PEERS
     for address in addresses:
-        router.table.heard(address, address, 1, now_s)
+        router.table.record_heartbeat(address, address, 1, now_s)
     many = peers._targets(now_s, hurried=False)
     assert len(many) == client.MAX_PEERS_OF_MANY
     assert len(peers._targets(now_s, hurried=True)) == 8
--- a/toucanrudder/router/state.py
+++ b/toucanrudder/router/state.py
@@ -158,7 +158,7 @@
 
     def live_routers(self, now_s: float) -> int:
         """Return the number of live routers, this one included."""
-        return self.routers.count(now_s)
+        return self.routers.live_count(now_s)
 
     def budget(self, pool: str) -> retries.RetryBudget:
         """Return the retry budget of an upstream pool."""
