--- a/toucanrudder/controllers/kept_cache.py
+++ b/toucanrudder/controllers/kv_transfer.py
@@ -1,4 +1,4 @@
-"""Has engines export hot prefixes, and import them instead of computing."""
+"""Export and import of hot prefixes' KV cache through a shared store."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,26 +16,32 @@
 from toucanrudder.prefix import request_rates
 
 #: Requests a second, over all routers, from which a prefix is worth
-#: keeping: below it the copy is gone from use before it is fetched.
-HOT_PER_S = 0.2
+#: exporting: below it the copy is out of use before it is imported.
+HOT_RATE_PER_S = 0.2
 
-#: A prefix is exported again after this time; the store may drop blocks.
-EXPORT_EVERY_S = 60.0
+#: A prefix is exported again after this time, as the store may drop blocks.
+EXPORT_INTERVAL_S = 60.0
 
-#: Time for which a prefix is not asked for after the store lacked it.
-ABSENT_S = 10.0
+#: Time for which a block that the store lacked is not requested again.
+ABSENT_TTL_S = 10.0
 
-#: Entries remembered of either kind.
-MAX_REMEMBERED = 8192
+#: Keys remembered as exported, and as absent from the store.
+MAX_CACHED_KEYS = 8192
 
 EXPORT_TIMEOUT_S = 10.0
 
-#: An import that takes this many times what it should is given up: the
-#: request then goes on as if there were no kept cache.
-PATIENCE = 3.0
+#: Multiple of an import's expected time after which it is abandoned; the
+#: request then goes on without it.
+IMPORT_TIMEOUT_FACTOR = 3.0
 
 
-_FAILED = (aiohttp.ClientError, TimeoutError, OSError, ValueError, KeyError)
+_CALL_ERRORS = (
+    aiohttp.ClientError,
+    TimeoutError,
+    OSError,
+    ValueError,
+    KeyError,
+)
 
 
 def _count(event: str, amount: int = 1) -> None:
@@ -44,13 +50,13 @@
     ).add(amount, {"event": event})
 
 
-class KeptCache:
-    """The store of kept KV cache as this router uses it.
+class KVTransferController:
+    """Orders engines to export hot prefixes and to import them again.
 
-    Which prefixes are kept need not be agreed: a hot prefix is presumed to
-    be, and the answer to an import says what there was.  Each hot prefix
-    is exported at the word of one router, the one that rendezvous hashing
-    names, so that eight routers do not order eight copies.
+    Routers need not agree on which prefixes are stored: a hot prefix is
+    presumed to be, and the answer to an import says how much of it was.
+    Each hot prefix is exported by order of one router, chosen by
+    rendezvous hashing, so that eight routers do not order eight copies.
 
     Parameters
     ----------
@@ -59,7 +65,7 @@
     router : str
         Name of this router.
     hot : request_rates.PrefixRates
-        Rates of prefixes.
+        Request rates of prefixes.
     routers : callable
         Returns the names of the live routers.
     clock : callable
@@ -83,24 +89,26 @@
         self._routers = routers
         self._clock = clock
         self._cost = cost
-        self._absent = cachetools.TTLCache(MAX_REMEMBERED, ABSENT_S, clock)
+        self._absent = cachetools.TTLCache(
+            MAX_CACHED_KEYS, ABSENT_TTL_S, clock
+        )
         self._exported = cachetools.TTLCache(
-            MAX_REMEMBERED, EXPORT_EVERY_S, clock
+            MAX_CACHED_KEYS, EXPORT_INTERVAL_S, clock
         )
-        self._importing: dict[tuple[str, bytes], asyncio.Future] = {}
+        self._pending_imports: dict[tuple[str, bytes], asyncio.Future] = {}
 
     def hot_keys(
         self, keys: Sequence[bytes], now_s: float
     ) -> tuple[bytes, ...]:
-        """Return those of the keys that are worth keeping."""
+        """Return those of the keys that are worth exporting."""
         rates = self._heat.rates(keys, now_s)
-        return tuple(key for key in keys if rates[key] >= HOT_PER_S)
+        return tuple(key for key in keys if rates[key] >= HOT_RATE_PER_S)
 
-    def decide(
+    def plan_import(
         self,
         decision: types.Decision,
         query: types.Query,
-        speed_tokens_per_s: float,
+        prefill_tokens_per_s: float,
         now_s: float,
     ) -> imports.Import | None:
         """Return what to import before a request, or None.
@@ -108,17 +116,17 @@
         Parameters
         ----------
         decision : types.Decision
-            Where the request goes, and what is expected to be cached.
+            The chosen engine and its expected cache hit.
         query : types.Query
             The request.
-        speed_tokens_per_s : float
-            The engine's speed of prefill.
+        prefill_tokens_per_s : float
+            The engine's prefill rate.
         now_s : float
             Present monotonic time.
         """
         if not decision.incarnation:
             return None
-        kept = [
+        stored = [
             key
             for key in self.hot_keys(query.prefix_keys, now_s)
             if key not in self._absent
@@ -128,48 +136,52 @@
             zone="",
             incarnation=decision.incarnation,
             weights_version="",
-            prefill_tokens_per_s=speed_tokens_per_s,
+            prefill_tokens_per_s=prefill_tokens_per_s,
             expected_cached_tokens=decision.expected_hit_tokens,
         )
-        return imports.plan_import(view, query, kept, self._cost)
+        return imports.plan_import(view, query, stored, self._cost)
 
-    async def fetch(
-        self, upstream: model.Upstream, order: imports.Import, store: str
+    async def import_blocks(
+        self, upstream: model.Upstream, plan: imports.Import, store: str
     ) -> int:
-        """Have the engine import; return the tokens that it got.
+        """Have the engine import blocks; return the imported tokens.
 
-        Requests for the same prefix that come meanwhile wait for the same
-        import.  A failure gives 0: the prefix is computed.
+        Concurrent requests for the same prefix share one import.  Returns
+        0 on failure; the engine then computes the prefix.
         """
-        place = (order.incarnation, order.blocks[-1])
-        under_way = self._importing.get(place)
-        if under_way is not None:
-            return await asyncio.shield(under_way)
-        task = asyncio.ensure_future(self._fetch(upstream, order, store))
-        self._importing[place] = task
-        task.add_done_callback(lambda _: self._importing.pop(place, None))
+        import_key = (plan.incarnation, plan.blocks[-1])
+        pending = self._pending_imports.get(import_key)
+        if pending is not None:
+            return await asyncio.shield(pending)
+        task = asyncio.ensure_future(
+            self._import_blocks(upstream, plan, store)
+        )
+        self._pending_imports[import_key] = task
+        task.add_done_callback(
+            lambda _: self._pending_imports.pop(import_key, None)
+        )
         return await asyncio.shield(task)
 
-    async def _fetch(self, upstream, order, store) -> int:
-        timeout_s = PATIENCE * self._cost.duration_s(order.tokens)
+    async def _import_blocks(self, upstream, plan, store) -> int:
+        timeout_s = IMPORT_TIMEOUT_FACTOR * self._cost.duration_s(plan.tokens)
         try:
-            answer = await self._order(
-                upstream, "import", order.blocks, store, timeout_s
+            answer = await self._call_engine(
+                upstream, "import", plan.blocks, store, timeout_s
             )
             tokens = int(answer["imported_tokens"])
-        except _FAILED:
+        except _CALL_ERRORS:
             _count("import_failed")
             tokens = 0
-        got = tokens // (order.tokens // len(order.blocks))
-        for key in order.blocks[got:]:
+        imported = tokens // (plan.tokens // len(plan.blocks))
+        for key in plan.blocks[imported:]:
             self._absent[key] = True
         _count("imported_tokens", tokens)
         return tokens
 
-    def to_export(
+    def keys_to_export(
         self, keys: Sequence[bytes], now_s: float
     ) -> tuple[bytes, ...]:
-        """Return the keys that this router should have exported now."""
+        """Return the keys that this router should order exported now."""
         hot = self.hot_keys(keys, now_s)
         if not hot or hot[-1] in self._exported:
             return ()
@@ -181,18 +193,18 @@
     async def export(
         self, upstream: model.Upstream, keys: tuple[bytes, ...], store: str
     ) -> None:
-        """Have the engine copy its blocks of these keys to the store."""
+        """Have the engine copy the blocks of these keys to the store."""
         self._exported[keys[-1]] = True
         try:
-            await self._order(
+            await self._call_engine(
                 upstream, "export", keys, store, EXPORT_TIMEOUT_S
             )
             _count("exported")
-        except _FAILED:
+        except _CALL_ERRORS:
             self._exported.pop(keys[-1], None)
             _count("export_failed")
 
-    async def _order(
+    async def _call_engine(
         self, upstream, call: str, keys, store: str, timeout_s: float
     ) -> dict:
         async with self._session.post(
--- a/toucanrudder/controllers/tests/test_kept_cache.py
+++ b/toucanrudder/controllers/tests/test_kv_transfer.py
@@ -3,7 +3,7 @@
 import aiohttp
 import pytest
 
-from toucanrudder.controllers import kept_cache
+from toucanrudder.controllers import kv_transfer
 from toucanrudder.document import model
 from toucanrudder.placement import types
 from toucanrudder.prefix import request_rates
@@ -26,17 +26,16 @@
     return types.Query("r", "acme", 1, keys, 6100, 10.0)
 
 
-def kept(session=None, hot_keys=KEYS, router="r1", routers=("r1",)):
+def controller(session=None, hot_keys=KEYS, router="r1", routers=("r1",)):
     hot = request_rates.PrefixRates()
     for number in range(20):
         hot.add(hot_keys, number * 0.1)
-    return kept_cache.KeptCache(
+    return kv_transfer.KVTransferController(
         session, router, hot, lambda: routers, lambda: 2.0
     )
 
 
-# Hot keys, the decision and the speed of the engine, and the blocks that
-# are imported.
+# Hot keys, placement decision, the engine's prefill rate, imported blocks.
 IMPORTS = [
     (KEYS, decision(), SPEED, KEYS),
     (KEYS[:2], decision(), SPEED, KEYS[:2]),
@@ -49,26 +48,27 @@
 
 
 @pytest.mark.parametrize(("hot", "decided", "speed", "expected"), IMPORTS)
-def test_what_is_imported(hot, decided, speed, expected):
-    order = kept(hot_keys=hot).decide(decided, query(), speed, 2.0)
-    assert (order.blocks if order else ()) == expected
+def test_blocks_to_import(hot, decided, speed, expected):
+    plan = controller(hot_keys=hot).plan_import(decided, query(), speed, 2.0)
+    assert (plan.blocks if plan else ()) == expected
 
 
-def test_one_router_has_a_hot_prefix_exported():
+def test_exactly_one_router_exports_a_hot_prefix():
     routers = [f"r{number}" for number in range(8)]
     exporting = [
         name
         for name in routers
-        if kept(router=name, routers=routers).to_export(KEYS, 2.0)
+        if controller(router=name, routers=routers).keys_to_export(KEYS, 2.0)
     ]
     assert len(exporting) == 1
-    assert kept().to_export((b"z" * 16,), 2.0) == ()
+    assert controller().keys_to_export((b"z" * 16,), 2.0) == ()
 
 
-async def test_what_the_store_lacks_is_not_asked_for_again():
-    """A hot prefix is presumed kept, but the store has its first block
-    only.  The import gives that one; the next request asks for no more,
-    and does not wait for nothing.
+async def test_blocks_absent_from_the_store_are_not_requested_again():
+    """Requests wait for imports of blocks that the store does not have.
+
+    A hot prefix is presumed stored, but the store has only its first
+    block.  After the first import, requests ask for that block alone.
     """
     async with (
         platforms.opened() as platform,
@@ -76,22 +76,24 @@
         aiohttp.ClientSession() as session,
     ):
         platform.vaults[STORE] = {KEYS[0].hex()}
-        cache = kept(session)
+        transfer = controller(session)
         upstream = model.Upstream("e1", "engine", engine.address, "z", "p")
-        order = cache.decide(decision(), query(), SPEED, 2.0)
-        got = await asyncio.gather(
-            *(cache.fetch(upstream, order, STORE) for _ in range(3))
+        plan = transfer.plan_import(decision(), query(), SPEED, 2.0)
+        imported = await asyncio.gather(
+            *(transfer.import_blocks(upstream, plan, STORE) for _ in range(3))
         )
-        assert got == [2000] * 3
+        assert imported == [2000] * 3
         assert len(engine.imports) == 1
-        again = cache.decide(decision(), query(), SPEED, 2.0)
-        assert again.blocks == KEYS[:1]
+        next_plan = transfer.plan_import(decision(), query(), SPEED, 2.0)
+        assert next_plan.blocks == KEYS[:1]
+
 
+async def test_a_restarted_engine_imports_its_hot_prefix():
+    """A restarted engine recomputes a hot prefix that is in the store.
 
-async def test_an_engine_that_came_back_cold_imports_its_hot_prefix():
-    """An engine crashes and returns with an empty cache.  The firm's hot
-    prefix was exported before, so the next prompt finds it imported; what
-    another organisation sends with the same words does not.
+    An engine crashes and returns with an empty cache.  The organisation's
+    hot prefix was exported before, so its next prompt is served from the
+    import; another organisation's prompt of the same text is not.
     """
     prompt = "general conditions apply. " * 1000
     body = {"model": fleets.MODEL, "prompt": prompt, "max_tokens": 2}
@@ -114,7 +116,7 @@
             await fleet.upstreams["engine-0"].kill()
             await fleet.start_upstream("engine", "engine-0")
             cold = fleet.upstreams["engine-0"]
-            await control.until(lambda: _known(fleet, cold))
+            await control.until(lambda: _is_known(fleet, cold))
 
         await restart()
 
@@ -128,7 +130,7 @@
         assert await ask("birch") == 0
 
 
-async def _known(fleet, process):
+async def _is_known(fleet, process):
     url = f"{process.url}/load"
     async with fleet.session.get(url) as response:
         incarnation = (await response.json())["incarnation"]
--- a/toucanrudder/filters/engine_try.py
+++ b/toucanrudder/filters/engine_try.py
@@ -107,14 +107,16 @@
         if not store or state.kept is None or self.order.last:
             return
         known = state.loads.get(self.upstream.name)
-        order = state.kept.decide(
+        order = state.kept.plan_import(
             self.decision,
             fleets.query_of(self.exchange.request),
             known.report.prefill_tokens_per_s if known else 0.0,
             state.now_s(),
         )
         if order is not None:
-            tokens = await state.kept.fetch(self.upstream, order, store)
+            tokens = await state.kept.import_blocks(
+                self.upstream, order, store
+            )
             entry.prefill_tokens = max(0, entry.prefill_tokens - tokens)
 
     def _export(self) -> None:
@@ -123,7 +125,7 @@
         if not store or state.kept is None:
             return
         keys = self.exchange.request.prefix_keys
-        hot = state.kept.to_export(keys, state.now_s())
+        hot = state.kept.keys_to_export(keys, state.now_s())
         if hot:
             state.spawn(state.kept.export(self.upstream, hot, store))
 
--- a/toucanrudder/router/assembly.py
+++ b/toucanrudder/router/assembly.py
@@ -18,7 +18,7 @@
 from toucanrudder.controllers import cache_events
 from toucanrudder.controllers import configuration
 from toucanrudder.controllers import instances as instance_controllers
-from toucanrudder.controllers import kept_cache
+from toucanrudder.controllers import kv_transfer
 from toucanrudder.controllers import loads as load_controllers
 from toucanrudder.controllers import weights as weight_controllers
 from toucanrudder.document import model
@@ -261,7 +261,7 @@
     sessions: _Sessions,
     hot: request_rates.PrefixRates,
     table: routers.RouterTable,
-) -> kept_cache.KeptCache | None:
+) -> kv_transfer.KVTransferController | None:
     if conf.policy.placement != "toucanrudder":
         # The baselines are what users run otherwise: they keep nothing.
         return None
@@ -271,7 +271,9 @@
     def live() -> set[str]:
         return {name, *(member.name for member in table.live(now_s()))}
 
-    return kept_cache.KeptCache(sessions.shared, name, hot, live, now_s)
+    return kv_transfer.KVTransferController(
+        sessions.shared, name, hot, live, now_s
+    )
 
 
 def controllers(
--- a/toucanrudder/router/state.py
+++ b/toucanrudder/router/state.py
@@ -19,7 +19,7 @@
 from toucanrudder import retries
 from toucanrudder import store
 from toucanrudder.controllers import configuration
-from toucanrudder.controllers import kept_cache
+from toucanrudder.controllers import kv_transfer
 from toucanrudder.document import model
 from toucanrudder.membership import instances
 from toucanrudder.membership import routers
@@ -100,7 +100,7 @@
     routers: routers.RouterTable
     peer_loads: peer_loads.PeerLoads
     instances: instances.InstanceTable
-    kept: kept_cache.KeptCache | None = None
+    kept: kv_transfer.KVTransferController | None = None
     stopping: bool = False
     hasten: Callable[[], None] = lambda: None
     tell_peers: Callable[[], Awaitable[None]] = _nobody_to_tell
