--- a/toucanrudder/forwarding/store_watch.py
+++ b/toucanrudder/forwarding/store_watch.py
@@ -236,7 +236,7 @@
         position: feed.Position,
         wait_s: float,
     ) -> fanout.ReaderReply | None:
-        return await self._peering.client.changes(
+        return await self._peering.client.fetch_changes(
             reader.address,
             kind,
             position,
@@ -294,7 +294,7 @@
             self._controller(
                 self._store,
                 kinds.configuration,
-                feeds.Follower(
+                feeds.FeedCallbacks(
                     self._on_documents, _for_each_change(self._on_documents)
                 ),
                 lambda: configuration_wait_s(
@@ -304,7 +304,7 @@
             self._controller(
                 upstreams,
                 kinds.upstreams,
-                feeds.Follower(
+                feeds.FeedCallbacks(
                     self._on_upstream_list,
                     self._on_upstream_change,
                     self._state.registry.mark_recovered,
@@ -315,7 +315,7 @@
             self._controller(
                 self._store,
                 kinds.weights,
-                feeds.Follower(
+                feeds.FeedCallbacks(
                     self._on_weights, _for_each_change(self._on_weights)
                 ),
                 is_wanted=self._watches_weights,
@@ -336,7 +336,7 @@
         return self._controller(
             self._store,
             holder.KIND,
-            feeds.Follower(on_objects, _for_each_change(on_objects)),
+            feeds.FeedCallbacks(on_objects, _for_each_change(on_objects)),
             is_wanted=self._watches_lease,
         )
 
@@ -344,7 +344,7 @@
         self,
         source: feed.KindFeed,
         kind: str,
-        follower: feeds.Follower,
+        follower: feeds.FeedCallbacks,
         wait_s: Callable[[], float] | None = None,
         is_wanted: Callable[[], bool] = lambda: True,
     ) -> feeds.FeedController:
@@ -428,7 +428,7 @@
             _record_upstream_change(upstream, "leaves")
             self._gossip.record_leaving(upstream.incarnation, clock.now_s())
             # Peers without access to the registry learn it from this router.
-            self._peering.client.hasten()
+            self._peering.client.exchange_soon()
         registry.put(upstream)
         if known is None:
             # Drops the state of an earlier start under the same name.
@@ -440,7 +440,7 @@
             weights = strange.decode_or_none(self._kinds.read_weights, stored)
             if weights and self._state.record_weights_version(*weights, now_s):
                 # Routers that do not watch the weights get them from peers.
-                self._peering.client.hasten()
+                self._peering.client.exchange_soon()
 
 
 def _record_upstream_change(upstream: model.Upstream, change: str) -> None:
--- a/toucanrudder/soak/mutants.py
+++ b/toucanrudder/soak/mutants.py
@@ -117,9 +117,9 @@
     Mutant(
         "changes of the document are not followed",
         "controllers/feeds.py",
-        "            self._follower.changed(change, now_s)",
+        "            self._callbacks.on_change(change, now_s)",
         '            if self.kind != "config":\n'
-        "                self._follower.changed(change, now_s)",
+        "                self._callbacks.on_change(change, now_s)",
     ),
     Mutant(
         "usage caps are not kept",
--- a/toucanrudder/store/tests/test_fanout_days.py
+++ b/toucanrudder/store/tests/test_fanout_days.py
@@ -126,7 +126,7 @@
         self.controller = feeds.FeedController(
             self.feed,
             KIND,
-            feeds.Follower(self.replaced, self.changed),
+            feeds.FeedCallbacks(self.replaced, self.changed),
             timeout_s=1.0,
             wait_s=lambda: 2.0,
             rng=scenario.rng,
