--- a/toucanrudder/peers/client.py
+++ b/toucanrudder/peers/client.py
@@ -78,7 +78,7 @@
     is_dropped: bool = False
 
 
-class Channels:
+class ChannelPool:
     """Channels to peers, by address; a failed one is not used again.
 
     Failure: a channel is closed, since another call on it has failed or
@@ -109,7 +109,7 @@
         )
 
     @contextlib.asynccontextmanager
-    async def called(
+    async def stub_for(
         self, address: str
     ) -> AsyncIterator[peers_pb2_grpc.PeersStub]:
         """Lend a stub for one call to the peer at the address."""
@@ -192,7 +192,7 @@
         # as live, or its first lost answer would make it gone.
         self._deadline_s = silent_s / 2
         self._rng = rng
-        self._channels = Channels(credentials)
+        self._channels = ChannelPool(credentials)
         self._busy: set[str] = set()
         self._fetching = False
         self._own_addresses: set[str] = set()
@@ -239,7 +239,7 @@
 
     async def _tell(self, address: str, told: peers_pb2.Heartbeat) -> None:
         try:
-            async with self._channels.called(address) as stub:
+            async with self._channels.stub_for(address) as stub:
                 await stub.Tell(told, timeout=self._deadline_s)
         except aio.AioRpcError as error:
             await self._failed(address, error)
@@ -307,7 +307,7 @@
     ):
         """Return what a peer answers; None if there is nothing to read."""
         try:
-            async with self._channels.called(address) as stub:
+            async with self._channels.stub_for(address) as stub:
                 reply = await ask(stub)
             return read(reply)
         except (aio.AioRpcError, ValueError) as error:
@@ -405,7 +405,7 @@
         self._busy.add(address)
         try:
             heartbeat = self._node.heartbeat(time.monotonic(), time.time())
-            async with self._channels.called(address) as stub:
+            async with self._channels.stub_for(address) as stub:
                 answer = await stub.Exchange(
                     messages.to_wire(heartbeat), timeout=self._deadline_s
                 )
@@ -440,7 +440,7 @@
 
     async def _fetch(self, address: str) -> None:
         try:
-            async with self._channels.called(address) as stub:
+            async with self._channels.stub_for(address) as stub:
                 reply = await stub.GetDocument(
                     peers_pb2.DocumentRequest(), timeout=DOCUMENT_S
                 )
--- a/toucanrudder/peers/tests/test_large_fleets.py
+++ b/toucanrudder/peers/tests/test_large_fleets.py
@@ -256,7 +256,7 @@
         self._sent = sent
 
     @contextlib.asynccontextmanager
-    async def called(self, address):
+    async def stub_for(self, address):
         yield Stub(self._sent)
 
     async def close(self):
--- a/toucanrudder/peers/tests/test_peers.py
+++ b/toucanrudder/peers/tests/test_peers.py
@@ -256,7 +256,7 @@
             one.running(tls=ours.credentials())
         )
         refusals = []
-        drop = client.Channels.drop
+        drop = client.ChannelPool.drop
         await stack.enter_async_context(bad.running([seed], theirs))
         bad.client._channels.drop = lambda address: (
             refusals.append(address),
--- a/toucanrudder/testing/virtual/sites.py
+++ b/toucanrudder/testing/virtual/sites.py
@@ -220,7 +220,7 @@
         return answer
 
 
-class _Channels(peer_clients.Channels):
+class _Channels(peer_clients.ChannelPool):
     """Channels of one router to virtual peers.
 
     Parameters
