--- a/toucanrudder/forwarding/daemon.py
+++ b/toucanrudder/forwarding/daemon.py
@@ -189,7 +189,7 @@
     async def avoid(self, incarnation: str, for_s: float) -> None:
         """Send no work to an engine for a while, and let peers know."""
         self.gossip.avoid(incarnation, for_s, clock.now_s())
-        await self.peering.client.tell_all(TELL_PEERS_TIMEOUT_S)
+        await self.peering.client.broadcast_urgent(TELL_PEERS_TIMEOUT_S)
 
     # Listeners.
 
--- a/toucanrudder/peers/client.py
+++ b/toucanrudder/peers/client.py
@@ -203,11 +203,11 @@
         self._ranked_of: tuple[routers.Member, ...] = ()
         self._ranked: list[str] = []
 
-    def hasten(self) -> None:
+    def exchange_soon(self) -> None:
         """Exchange soon: there is news that cannot wait for the interval."""
         self._haste.set()
 
-    async def tell_all(self, within_s: float) -> None:
+    async def broadcast_urgent(self, within_s: float) -> None:
         """Tell reachable peers what cannot wait, until they have it.
 
         Failure: many engines are about to load weights, and peers are told
@@ -244,7 +244,7 @@
         except aio.AioRpcError as error:
             await self._failed(address, error)
 
-    async def changes(
+    async def fetch_changes(
         self,
         address: str,
         kind: str,
@@ -314,7 +314,7 @@
             await self._failed(address, error)
             return None
 
-    def news(self, heartbeat: messages.Heartbeat) -> None:
+    def handle_heartbeat(self, heartbeat: messages.Heartbeat) -> None:
         """Fetch the sender's document if it is newer."""
         self._heard_s[heartbeat.sender.address] = time.monotonic()
         if heartbeat.generation > self._node.generation():
--- a/toucanrudder/peers/peering.py
+++ b/toucanrudder/peers/peering.py
@@ -88,7 +88,7 @@
             host,
             port,
             self.credentials,
-            self.client.news,
+            self.client.handle_heartbeat,
             self.encode,
             self.logs,
             self.answer_cap,
--- a/toucanrudder/peers/tests/test_large_fleets.py
+++ b/toucanrudder/peers/tests/test_large_fleets.py
@@ -279,11 +279,13 @@
         monotonic=lambda: fleet.now_s, time=lambda: fleet.now_s
     )
     with mock.patch.object(client, "time", virtual):
-        await asyncio.gather(*(beginning.tell_all(1.0) for _ in range(20)))
+        await asyncio.gather(
+            *(beginning.broadcast_urgent(1.0) for _ in range(20))
+        )
         assert len(sent) == client.MAX_TOLD
         assert not any(told.members or told.digest_keys for told in sent)
         # What is said while a round is under way gets one of its own.
-        await asyncio.gather(beginning.tell_all(1.0))
+        await asyncio.gather(beginning.broadcast_urgent(1.0))
     assert len(sent) == 2 * client.MAX_TOLD
     assert len(table.peers(fleet.now_s)) == 81
 
@@ -317,13 +319,13 @@
         monotonic=lambda: fleet.now_s, time=lambda: fleet.now_s
     )
     with mock.patch.object(client, "time", virtual):
-        telling = asyncio.ensure_future(beginning.tell_all(1.0))
+        telling = asyncio.ensure_future(beginning.broadcast_urgent(1.0))
         await asyncio.sleep(0)
         for task in list(beginning._tasks):
             task.cancel()
         await telling
         assert not sent
-        await beginning.tell_all(1.0)
+        await beginning.broadcast_urgent(1.0)
     assert len(sent) == 7
 
 
--- a/toucanrudder/peers/tests/test_peers.py
+++ b/toucanrudder/peers/tests/test_peers.py
@@ -70,7 +70,7 @@
             rng=self.rng,
         )
         async with server.serve(
-            self.node, "127.0.0.1", 0, tls, self.client.news
+            self.node, "127.0.0.1", 0, tls, self.client.handle_heartbeat
         ) as address:
             self.node.address = advertise or address
             task = asyncio.create_task(self.client.run())
@@ -193,7 +193,7 @@
     heard = attrs.evolve(
         HEARTBEAT, sender=routers.Member("x", addresses[3], 1)
     )
-    peers.news(heard)
+    peers.handle_heartbeat(heard)
     now_s = peers._heard_s[addresses[3]]
     for address in addresses[:4]:
         router.table.record_heartbeat(address, address, 1, now_s)
--- a/toucanrudder/peers/tests/test_questions.py
+++ b/toucanrudder/peers/tests/test_questions.py
@@ -54,7 +54,7 @@
         return server.serve(node, "127.0.0.1", 0, None, logs=logs)
 
     async def ask(self, address, position=POSITION, deadline_s=LONG_S):
-        return await self.client.changes(
+        return await self.client.fetch_changes(
             address, KIND, position, wait_s=1.0, deadline_s=deadline_s
         )
 
--- a/toucanrudder/router/peering.py
+++ b/toucanrudder/router/peering.py
@@ -36,8 +36,8 @@
         silent_s=settings.silent_s,
         rng=state.rng,
     )
-    state.hasten = client.hasten
-    state.tell_peers = lambda: client.tell_all(TELL_WITHIN_S)
+    state.hasten = client.exchange_soon
+    state.tell_peers = lambda: client.broadcast_urgent(TELL_WITHIN_S)
     return peerings.Peering(node, client, credentials, settings.advertise)
 
 
--- a/toucanrudder/testing/virtual/sites.py
+++ b/toucanrudder/testing/virtual/sites.py
@@ -363,7 +363,7 @@
             peer_servers.PeersService(
                 peering.node,
                 False,
-                peering.client.news,
+                peering.client.handle_heartbeat,
                 peering.encode,
                 peering.logs,
                 peering.answer_cap,
