--- a/toucanrudder/forwarding/state.py
+++ b/toucanrudder/forwarding/state.py
@@ -211,11 +211,11 @@
             newest = self.newest_weights.get(prompt.model)
         upstreams = self.registry.for_service(service)
         ages_s = _weights_ages_s(upstreams, newest)
-        peer_work = self.peer_loads.sums(now_s)
+        peer_work = self.peer_loads.totals(now_s)
         candidates = []
         for upstream in upstreams:
             name = upstream.incarnation
-            work = peer_work.get(name, peers_loads.NOTHING)
+            work = peer_work.get(name, peers_loads.NO_LOAD)
             version = upstream.weights.get(newest.model) if newest else None
             candidates.append(
                 placing.Candidate(
--- a/toucanrudder/peers/loads.py
+++ b/toucanrudder/peers/loads.py
@@ -9,7 +9,7 @@
 
 
 @attrs.define
-class Work:
+class TotalLoad:
     """Work of several routers at one upstream.
 
     Parameters
@@ -25,7 +25,7 @@
 
 
 #: Work at an upstream of which nobody has told.
-NOTHING = Work()
+NO_LOAD = TotalLoad()
 
 
 @attrs.frozen
@@ -60,9 +60,9 @@
         self._max_age_s = max_age_s
         # The one heard of longest ago comes first.
         self._told: dict[str, _Told] = {}
-        self._sums: dict[str, Work] = {}
+        self._sums: dict[str, TotalLoad] = {}
 
-    def heard(
+    def replace(
         self,
         router: str,
         loads: tuple[messages.UpstreamLoad, ...],
@@ -76,7 +76,7 @@
         self._told[router] = told
         self._add(told.loads, 1)
 
-    def sums(self, now_s: float) -> Mapping[str, Work]:
+    def totals(self, now_s: float) -> Mapping[str, TotalLoad]:
         """Return the work of all others, by upstream; not to be kept."""
         oldest_s = now_s - self._max_age_s
         while self._told:
@@ -88,11 +88,11 @@
 
     def prefill_tokens(self, upstream: str, now_s: float) -> int:
         """Return the tokens that others sent there and still wait for."""
-        return self.sums(now_s).get(upstream, NOTHING).prefill_tokens
+        return self.totals(now_s).get(upstream, NO_LOAD).prefill_tokens
 
     def requests(self, upstream: str, now_s: float) -> int:
         """Return the requests that others have there."""
-        return self.sums(now_s).get(upstream, NOTHING).requests
+        return self.totals(now_s).get(upstream, NO_LOAD).requests
 
     def _forget(self, router: str) -> None:
         told = self._told.pop(router, None)
@@ -103,7 +103,7 @@
         self, loads: Iterable[messages.UpstreamLoad], factor: int
     ) -> None:
         for load in loads:
-            work = self._sums.setdefault(load.upstream, Work())
+            work = self._sums.setdefault(load.upstream, TotalLoad())
             work.prefill_tokens += factor * load.prefill_tokens
             work.requests += factor * load.requests
             if not work.requests and not work.prefill_tokens:
--- a/toucanrudder/peers/node.py
+++ b/toucanrudder/peers/node.py
@@ -239,7 +239,7 @@
             return
         self.heard_urgent(heartbeat, now_s, wall_s)
         self._heard_of_others(heartbeat, now_s)
-        self._loads.heard(sender.name, heartbeat.loads, now_s)
+        self._loads.replace(sender.name, heartbeat.loads, now_s)
         self._sources.hot(
             sender.name,
             heartbeat.hot_prefixes,
--- a/toucanrudder/peers/tests/test_loads.py
+++ b/toucanrudder/peers/tests/test_loads.py
@@ -25,7 +25,7 @@
             )
             for _ in range(rng.randrange(4))
         )
-        sums.heard(router, said, now_s)
+        sums.replace(router, said, now_s)
         told[router] = ({each.upstream: each for each in said}, now_s)
         now_s += rng.choice((0.0, 0.5))
         for engine in ("e0", "e1", "e2", "e3"):
