--- a/toucanrudder/forwarding/peering.py
+++ b/toucanrudder/forwarding/peering.py
@@ -171,18 +171,18 @@
     rng : random.Random
         For jitter and choices.
     """
-    sources = nodes.Sources(
+    sources = nodes.HeartbeatHooks(
         loads=gossip.loads,
         weights=gossip.weights,
         quarantine=state.crash_counts.suspicions.entries,
-        merge=state.crash_counts.merge,
+        on_quarantine=state.crash_counts.merge,
         leaving=lambda: state.stopping,
         # Peers are timed by a clock that stops while the host is suspended;
         # information about upstreams keeps ageing.
         leaving_upstreams=lambda _: gossip.leaving(clock.now_s()),
         avoided=lambda _: gossip.avoided(clock.now_s()),
         registry=lambda _: gossip.registry(clock.now_s()),
-        upstream_news=lambda heartbeat, _: gossip.merge(
+        on_upstream_news=lambda heartbeat, _: gossip.merge(
             heartbeat, clock.now_s()
         ),
     )
--- a/toucanrudder/peers/node.py
+++ b/toucanrudder/peers/node.py
@@ -41,7 +41,7 @@
 
 
 @attrs.define
-class Sources:
+class HeartbeatHooks:
     """Where a heartbeat's content comes from and where news goes.
 
     Parameters
@@ -77,17 +77,17 @@
         [int, float], tuple[request_rates.HotPrefix, ...]
     ] = lambda count, now_s: ()
     total_rate_per_s: Callable[[float], float] = lambda now_s: 0.0
-    merge: Callable[[tuple[entry.Entry, ...], float], object] = (
+    on_quarantine: Callable[[tuple[entry.Entry, ...], float], object] = (
         lambda entries, wall_s: None
     )
-    hot: Callable[
+    on_hot_prefixes: Callable[
         [str, tuple[request_rates.HotPrefix, ...], float, float], None
     ] = lambda peer, prefixes, total, now_s: None
     leaving_upstreams: Callable[[float], tuple[str, ...]] = lambda now_s: ()
     avoided: Callable[[float], tuple[messages.Avoided, ...]] = lambda now_s: ()
     registry: Callable[[float], messages.Served | None] = lambda now_s: None
     weights: Callable[[], tuple[messages.Weights, ...]] = tuple
-    upstream_news: Callable[[messages.Heartbeat, float], None] = (
+    on_upstream_news: Callable[[messages.Heartbeat, float], None] = (
         lambda heartbeat, now_s: None
     )
 
@@ -128,7 +128,7 @@
         table: routers.RouterTable,
         loads: peer_loads.PeerLoads,
         current: Callable[[], Document | None],
-        sources: Sources,
+        hooks: HeartbeatHooks,
         rng: random.Random,
     ):
         self.name = name
@@ -137,7 +137,7 @@
         self.current = current
         self._incarnation = incarnation
         self._loads = loads
-        self._sources = sources
+        self._hooks = hooks
         self._rng = rng
         self._beat = 0
         self._heartbeats = 0
@@ -190,9 +190,9 @@
         self._heartbeats += 1
         return attrs.evolve(
             self.urgent(now_s, wall_s, tell_all=tell_all),
-            loads=self._sources.loads(),
-            hot_prefixes=self._sources.hot_prefixes(MAX_TOLD_HOT, now_s),
-            total_rate_per_s=self._sources.total_rate_per_s(now_s),
+            loads=self._hooks.loads(),
+            hot_prefixes=self._hooks.hot_prefixes(MAX_TOLD_HOT, now_s),
+            total_rate_per_s=self._hooks.total_rate_per_s(now_s),
             members=members,
             want_all=self._heartbeats % ASK_ALL_EVERY == 1,
             digest=self.table.digest(MAX_DIGEST, now_s, self._rng),
@@ -210,7 +210,7 @@
             As of `heartbeat`.
         """
         self._beat += 1
-        entries = self._sources.quarantine(wall_s)
+        entries = self._hooks.quarantine(wall_s)
         if not tell_all:
             latest_s = wall_s - LATEST_S
             entries = tuple(e for e in entries if e.at_s >= latest_s)
@@ -220,14 +220,14 @@
                 self.address,
                 self._incarnation,
                 self._beat,
-                self._sources.leaving(),
+                self._hooks.leaving(),
             ),
             generation=self.generation(),
             quarantine=entries,
-            leaving_upstreams=self._sources.leaving_upstreams(now_s),
-            avoided=self._sources.avoided(now_s),
-            registry=self._sources.registry(now_s),
-            weights=self._sources.weights(),
+            leaving_upstreams=self._hooks.leaving_upstreams(now_s),
+            avoided=self._hooks.avoided(now_s),
+            registry=self._hooks.registry(now_s),
+            weights=self._hooks.weights(),
         )
 
     def heard(
@@ -240,7 +240,7 @@
         self.heard_urgent(heartbeat, now_s, wall_s)
         self._heard_of_others(heartbeat, now_s)
         self._loads.replace(sender.name, heartbeat.loads, now_s)
-        self._sources.hot(
+        self._hooks.on_hot_prefixes(
             sender.name,
             heartbeat.hot_prefixes,
             heartbeat.total_rate_per_s,
@@ -263,8 +263,8 @@
             leaving=sender.leaving,
         )
         self._generations[sender.name] = heartbeat.generation
-        self._sources.merge(heartbeat.quarantine, wall_s)
-        self._sources.upstream_news(heartbeat, now_s)
+        self._hooks.on_quarantine(heartbeat.quarantine, wall_s)
+        self._hooks.on_upstream_news(heartbeat, now_s)
 
     def _heard_of_others(
         self, heartbeat: messages.Heartbeat, now_s: float
--- a/toucanrudder/peers/tests/test_large_fleets.py
+++ b/toucanrudder/peers/tests/test_large_fleets.py
@@ -68,7 +68,7 @@
             routers.RouterTable(SILENT_S),
             loads.PeerLoads(SILENT_S),
             lambda: None,
-            node.Sources(),
+            node.HeartbeatHooks(),
             random.Random(number),
         )
         made.address = self.address(number)
--- a/toucanrudder/peers/tests/test_peers.py
+++ b/toucanrudder/peers/tests/test_peers.py
@@ -42,14 +42,16 @@
             self.table,
             self.loads,
             lambda: self.document if self.document.generation else None,
-            nodes.Sources(
+            nodes.HeartbeatHooks(
                 loads=lambda: self.own,
                 leaving=lambda: self.leaving,
                 quarantine=lambda _: tuple(self.entries),
-                merge=lambda new, _: self.entries.extend(
+                on_quarantine=lambda new, _: self.entries.extend(
                     each for each in new if each not in self.entries
                 ),
-                hot=lambda peer, *told: self.hot.update({peer: told}),
+                on_hot_prefixes=lambda peer, *told: self.hot.update(
+                    {peer: told}
+                ),
             ),
             self.rng,
         )
--- a/toucanrudder/router/peering.py
+++ b/toucanrudder/router/peering.py
@@ -41,7 +41,7 @@
     return peerings.Peering(node, client, credentials, settings.advertise)
 
 
-def _sources(state: states.RouterState) -> nodes.Sources:
+def _sources(state: states.RouterState) -> nodes.HeartbeatHooks:
     def hot(
         peer: str,
         prefixes: tuple[request_rates.HotPrefix, ...],
@@ -50,13 +50,13 @@
     ) -> None:
         state.heat.update_peer(peer, prefixes, total_rate_per_s, now_s)
 
-    return nodes.Sources(
+    return nodes.HeartbeatHooks(
         loads=lambda: _own_loads(state),
         quarantine=state.suspicions.entries,
         hot_prefixes=state.heat.hottest,
         total_rate_per_s=state.heat.own_total_rate_per_s,
-        merge=state.suspicions.merge,
-        hot=hot,
+        on_quarantine=state.suspicions.merge,
+        on_hot_prefixes=hot,
         leaving=lambda: state.stopping,
     )
 
