--- a/toucanrudder/peers/client.py
+++ b/toucanrudder/peers/client.py
@@ -230,7 +230,9 @@
         # Whoever asks from now on may have news that this one lacks.
         self._round = None
         now_s = time.monotonic()
-        told = messages.to_wire(self._node.urgent(now_s, time.time()))
+        told = messages.to_wire(
+            self._node.urgent_heartbeat(now_s, time.time())
+        )
         known = self._node.table.peers(now_s)
         chosen = self._rng.sample(known, min(len(known), MAX_TOLD))
         await asyncio.gather(
@@ -419,7 +421,7 @@
             self._own_addresses.add(address)
             return
         self._heard_s[address] = time.monotonic()
-        self._node.heard(answer, time.monotonic(), time.time())
+        self._node.receive(answer, time.monotonic(), time.time())
         if answer.generation > self._node.generation():
             self._start_fetch(address)
 
@@ -427,7 +429,7 @@
         reason = "unreadable_answer"
         if isinstance(error, aio.AioRpcError):
             reason = error.code().name.lower()
-        nodes.refused(reason)
+        nodes.count_refusal(reason)
         LOG.debug("exchange failed", extra={"peer": address, "code": reason})
         # The connection may have gone silent for good while new ones
         # work.  gRPC would go on using it; the next call opens another.
@@ -450,7 +452,7 @@
             await self._failed(address, error)
         except Exception:
             # A peer of a newer version may hold what cannot be read here.
-            nodes.refused("unreadable_document")
+            nodes.count_refusal("unreadable_document")
             LOG.exception("a peer's document cannot be read")
         finally:
             self._fetching = False
--- a/toucanrudder/peers/node.py
+++ b/toucanrudder/peers/node.py
@@ -189,7 +189,7 @@
         ) + self.table.members_by_key(wanted[:MAX_WANTED], now_s)
         self._heartbeats += 1
         return attrs.evolve(
-            self.urgent(now_s, wall_s, tell_all=tell_all),
+            self.urgent_heartbeat(now_s, wall_s, tell_all=tell_all),
             loads=self._hooks.loads(),
             hot_prefixes=self._hooks.hot_prefixes(MAX_TOLD_HOT, now_s),
             total_rate_per_s=self._hooks.total_rate_per_s(now_s),
@@ -199,7 +199,7 @@
             wanted=self.table.missing_keys(MAX_WANTED, now_s),
         )
 
-    def urgent(
+    def urgent_heartbeat(
         self, now_s: float, wall_s: float, *, tell_all: bool = False
     ) -> messages.Heartbeat:
         """Return the part of the next heartbeat that cannot wait.
@@ -230,15 +230,15 @@
             weights=self._hooks.weights(),
         )
 
-    def heard(
+    def receive(
         self, heartbeat: messages.Heartbeat, now_s: float, wall_s: float
     ) -> None:
         """Take in a peer's heartbeat."""
         sender = heartbeat.sender
         if sender.name == self.name:
             return
-        self.heard_urgent(heartbeat, now_s, wall_s)
-        self._heard_of_others(heartbeat, now_s)
+        self.receive_urgent(heartbeat, now_s, wall_s)
+        self._receive_gossip(heartbeat, now_s)
         self._loads.replace(sender.name, heartbeat.loads, now_s)
         self._hooks.on_hot_prefixes(
             sender.name,
@@ -247,7 +247,7 @@
             now_s,
         )
 
-    def heard_urgent(
+    def receive_urgent(
         self, heartbeat: messages.Heartbeat, now_s: float, wall_s: float
     ) -> None:
         """Take in the part of a peer's heartbeat that could not wait."""
@@ -266,7 +266,7 @@
         self._hooks.on_quarantine(heartbeat.quarantine, wall_s)
         self._hooks.on_upstream_news(heartbeat, now_s)
 
-    def _heard_of_others(
+    def _receive_gossip(
         self, heartbeat: messages.Heartbeat, now_s: float
     ) -> None:
         is_good = self.table.record_digest(heartbeat.digest, now_s)
@@ -274,14 +274,14 @@
             if member.name != self.name:
                 is_good &= self.table.record_gossip(member, now_s)
         if not is_good:
-            refused("impossible_member")
+            count_refusal("impossible_member")
             LOG.warning(
                 "a peer tells of routers that cannot be",
                 extra={"peer": heartbeat.sender.name},
             )
 
 
-def refused(reason: str) -> None:
+def count_refusal(reason: str) -> None:
     """Count what was refused of a peer, or a call that failed."""
     metrics.counter(
         "toucanrudder_peer_refusals", "Refused or failed calls of peers"
--- a/toucanrudder/peers/server.py
+++ b/toucanrudder/peers/server.py
@@ -96,7 +96,7 @@
         """Take in the caller's heartbeat; answer with this router's."""
         heartbeat = await self._read(request, context)
         now_s, wall_s = time.monotonic(), time.time()
-        self._node.heard(heartbeat, now_s, wall_s)
+        self._node.receive(heartbeat, now_s, wall_s)
         self._news(heartbeat)
         return messages.to_wire(
             self._node.heartbeat(
@@ -110,7 +110,7 @@
     async def Tell(self, request, context):
         """Take in the caller's urgent news."""
         heartbeat = await self._read(request, context)
-        self._node.heard_urgent(heartbeat, time.monotonic(), time.time())
+        self._node.receive_urgent(heartbeat, time.monotonic(), time.time())
         self._news(heartbeat)
         return peers_pb2.Taken()
 
@@ -119,7 +119,7 @@
         try:
             return messages.from_wire(request)
         except messages.BadHeartbeat as error:
-            nodes.refused("bad_heartbeat")
+            nodes.count_refusal("bad_heartbeat")
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
 
     async def GetDocument(self, request, context):
@@ -161,7 +161,7 @@
             return
         names = context.auth_context().get("x509_subject_alternative_name")
         if peer_credentials.PEER_NAME.encode() not in (names or ()):
-            nodes.refused("not_a_router")
+            nodes.count_refusal("not_a_router")
             await context.abort(
                 grpc.StatusCode.PERMISSION_DENIED,
                 f"the certificate lacks the name {peer_credentials.PEER_NAME}",
--- a/toucanrudder/peers/tests/test_large_fleets.py
+++ b/toucanrudder/peers/tests/test_large_fleets.py
@@ -133,7 +133,7 @@
         heartbeat = self.nodes[source].heartbeat(
             self.now_s, self.now_s, wanted=wanted
         )
-        self.nodes[target].heard(heartbeat, self.now_s, self.now_s)
+        self.nodes[target].receive(heartbeat, self.now_s, self.now_s)
         self.clients[target]._heard_s[self.address(source)] = self.now_s
         return heartbeat
 
@@ -297,9 +297,9 @@
     """
     fleet = Fleet(2)
     one, other = fleet.nodes
-    one._sources.loads = lambda: (messages.UpstreamLoad("e1", 900, 2),)
-    other.heard(one.heartbeat(1.0, 1.0), 1.0, 1.0)
-    other.heard_urgent(one.urgent(1.1, 1.1), 1.1, 1.1)
+    one._hooks.loads = lambda: (messages.UpstreamLoad("e1", 900, 2),)
+    other.receive(one.heartbeat(1.0, 1.0), 1.0, 1.0)
+    other.receive_urgent(one.urgent_heartbeat(1.1, 1.1), 1.1, 1.1)
     assert other._loads.requests("e1", 1.2) == 2
     assert other.table.live(1.2)[0].name == one.name
 
@@ -333,7 +333,7 @@
     # Old facts about crashes are asked for with the first heartbeat.
     one = Fleet(2).nodes[0]
     for _ in range(5):
-        one.urgent(1.0, 1.0)
+        one.urgent_heartbeat(1.0, 1.0)
     asked = [
         one.heartbeat(1.0, 1.0).want_all for _ in range(node.ASK_ALL_EVERY + 1)
     ]
