--- a/toucanrudder/peers/loads.py
+++ b/toucanrudder/peers/loads.py
@@ -49,7 +49,7 @@
     --------
     >>> loads = PeerLoads(max_age_s=3.0)
     >>> told = (messages.UpstreamLoad("e1", 4000, 2),)
-    >>> loads.heard("r2", told, now_s=0.0)
+    >>> loads.replace("r2", told, now_s=0.0)
     >>> loads.prefill_tokens("e1", now_s=1.0)
     4000
     >>> loads.prefill_tokens("e1", now_s=9.0)
