--- a/toucanrudder/forwarding/daemon.py
+++ b/toucanrudder/forwarding/daemon.py
@@ -1,4 +1,4 @@
-"""The forwarding router's process: start, signals and planned stop."""
+"""Process of the forwarding router: start, signals and planned stop."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -44,40 +44,41 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Threads are not needed for serving; aiomisc wants a pool.
+#: Threads of the pool that aiomisc requires; requests need none.
 POOL_SIZE = 2
 
-#: Time before the end by force at which what is left is cut by ourselves,
-#: so that the process still ends in order.
+#: Seconds before the supervisor kills the process at which the router
+#: closes the remaining connections, so that it still exits in order.
 FORCED_CLOSE_S = 0.4
 
-#: Longest wait for peers to hear of an engine that is about to load; one
-#: that does not answer by then will get refusals from the engine.
+#: Longest wait for peers to learn of an engine that is about to load; a
+#: peer that does not reply in time will get refusals from the engine.
 TELL_PEERS_TIMEOUT_S = 0.1
 
-#: Pause between two looks at whether all requests have ended.
+#: Poll interval for the end of all requests during a planned stop.
 DRAIN_POLL_S = 0.05
 
-#: Pause between two looks at the registry for entries that stay missing.
+#: Interval of the check for upstreams that stay missing.
 MISSING_CHECK_S = 0.2
 
 
 @attrs.frozen
 class Platform:
-    """What the daemon is told about where it runs.
+    """Platform-specific parts of the daemon.
 
     Parameters
     ----------
     dialect : dialects.Dialect
-        Callers' and upstreams' heads.
+        Reads and writes callers' and upstreams' heads.
     store : ConditionalStore and KindFeed
-        Where objects are kept.
+        Client of the object store.
     kinds : store_watch.WatchedKinds
-        Which objects are followed, and how they are read.
+        Watched kinds of objects and their decoders.
     encode, decode : callable
-        Between a document and its bytes.
+        Convert a document to and from bytes.
     engine_calls : callable
-        Given the pool and a clock, returns the calls to engines.
+        Takes the connection pool and a clock; returns the client for calls
+        to engines.
     """
 
     dialect: dialects.Dialect
@@ -89,14 +90,14 @@
 
 
 class Router:
-    """Everything one forwarding router consists of.
+    """All components of one forwarding router.
 
     Parameters
     ----------
     conf : oslo_config.cfg.ConfigOpts
-        Checked settings.
+        Validated settings.
     platform : Platform
-        Where it runs.
+        Platform-specific parts.
     """
 
     def __init__(self, conf: cfg.ConfigOpts, platform: Platform):
@@ -169,10 +170,10 @@
             rng=self.rng,
         )
 
-    # Beliefs.
+    # Updates from the store and from the rollout.
 
     def offer(self, document, source: str = "peer") -> bool:
-        """Put a document in force if it is newer."""
+        """Activate a document if it is newer; return whether it was."""
         previous = self.state.generation
         if not self.state.offer(document.configuration):
             return False
@@ -187,7 +188,7 @@
         return True
 
     async def avoid(self, incarnation: str, for_s: float) -> None:
-        """Send no work to an engine for a while, and let peers know."""
+        """Send no requests to an engine for a while, and tell peers."""
         self.gossip.avoid(incarnation, for_s, clock.now_s())
         await self.peering.client.broadcast_urgent(TELL_PEERS_TIMEOUT_S)
 
@@ -204,10 +205,10 @@
         )
 
     def _limits(self) -> server.Limits:
-        found = self.state.configuration
-        if found is None:
+        configuration = self.state.configuration
+        if configuration is None:
             return server.Limits()
-        return server.Limits(**attrs.asdict(found.limits))
+        return server.Limits(**attrs.asdict(configuration.limits))
 
     async def _answer_readiness(self, request, answer: server.Answer) -> None:
         is_ready = self.state.is_ready
@@ -215,10 +216,10 @@
         await answer.whole(200 if is_ready else 503, (), text)
 
     async def _answer_metrics(self, request, answer: server.Answer) -> None:
-        kind: message.Headers = (
+        headers: message.Headers = (
             (b"Content-Type", b"text/plain; version=0.0.4"),
         )
-        await answer.whole(200, kind, metrics.page())
+        await answer.whole(200, headers, metrics.page())
 
     # Controllers.
 
@@ -231,11 +232,11 @@
         )
 
     def _lease(self) -> holder.LeaseHolder:
-        me = f"{self.state.name}.{uuid.uuid4().hex[:8]}"
+        holder_id = f"{self.state.name}.{uuid.uuid4().hex[:8]}"
         return holder.LeaseHolder(
             self.platform.store,
             orders.LEASE_NAME,
-            me,
+            holder_id,
             timeout_s=self.conf.store.timeout_s,
             rng=self.rng,
             timing=decision.timing_for_failover(
@@ -261,15 +262,15 @@
             self.store_watch.expire_missing(clock.now_s())
 
     def controllers(self) -> list[tasks.TaskService]:
-        """Return the tasks that keep the state."""
+        """Return the tasks that keep the router's state up to date."""
         lease = self._lease()
-        followed = (
+        watches = (
             *self.store_watch.controllers(),
             self.store_watch.lease_controller(lease),
         )
         running = {
             f"follow {controller.kind}": controller.run
-            for controller in followed
+            for controller in watches
         }
         running["peers"] = self.peering.run
         running["cache events"] = self._cache_feed().run
@@ -283,7 +284,7 @@
 
     @contextlib.asynccontextmanager
     async def serving(self) -> AsyncIterator[None]:
-        """Run the controllers and listeners."""
+        """Run the controllers and listeners within the context."""
         metrics.gauge(
             "toucanrudder_members",
             "Other routers, as this one has heard of them",
@@ -311,36 +312,36 @@
             try:
                 yield
             finally:
-                for each in (
+                for listener in (
                     self.request_listener,
                     self.readiness_listener,
                     self.metrics_listener,
                 ):
-                    await each.stop()
+                    await listener.stop()
                 self.state.pool.close()
 
     async def drain(self) -> None:
-        """Serve what still comes until the balancer sends no more.
+        """Serve remaining requests until the load balancer sends no more.
 
-        The router says at once that it is not ready, and closes each
-        connection behind its answer; but until the balancer has noticed,
-        new connections come and are served: refusing them would fail
-        requests that another router would have taken.
+        The router reports at once that it is not ready, and closes each
+        connection after its answer.  Until the load balancer notices, new
+        connections still arrive and are served: refusing them would fail
+        requests that another router could have served.
         """
         self.state.stopping = True
         now_s = self.state.stopping_since_s = clock.now_s()
         shutdown = self.conf.shutdown
         end_s = now_s + shutdown.grace_s - FORCED_CLOSE_S
         self.state.stop_at_s = end_s
-        noticed_s = now_s + min(shutdown.notice_s, shutdown.grace_s / 2)
+        notice_end_s = now_s + min(shutdown.notice_s, shutdown.grace_s / 2)
         while clock.now_s() < end_s:
             await asyncio.sleep(DRAIN_POLL_S)
-            if clock.now_s() < noticed_s:
+            if clock.now_s() < notice_end_s:
                 continue
             self.request_listener.close_idle()
             if not self.request_listener.busy:
                 return
-        LOG.warning("requests still open at the end of the grace")
+        LOG.warning("requests are still open at the end of the grace period")
 
 
 def _host_port(address: str) -> tuple[str, int]:
@@ -365,11 +366,11 @@
 
 
 async def serve(conf: cfg.ConfigOpts, platform: Platform) -> None:
-    """Serve in this loop; returns after a planned stop."""
+    """Serve in the running event loop until a planned stop ends."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     router = Router(conf, platform)
     loop.add_signal_handler(
         signal.SIGHUP,
@@ -396,7 +397,7 @@
 
 
 def run(conf: cfg.ConfigOpts, platform: Platform) -> None:
-    """Serve in a loop of its own until a signal has led to a planned stop."""
+    """Serve in a new event loop until a signal causes a planned stop."""
     handler = lines.set_up(conf.logging.level, sys.stdout)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         try:
--- a/toucanrudder/forwarding/dialect.py
+++ b/toucanrudder/forwarding/dialect.py
@@ -1,4 +1,4 @@
-"""What the forwarding path needs said and read on the wire."""
+"""Interface to the heads and events that callers and upstreams exchange."""
 
 import abc
 
@@ -12,28 +12,29 @@
 
 @attrs.frozen
 class Instructions:
-    """What the router adds to a request for an upstream.
+    """Headers that the router adds to a request for an upstream.
 
     Parameters
     ----------
     upstream : model.Upstream
-        Only this process may run it.
+        The only process that may run the request.
     remaining_s : float
         Time until the caller's deadline.
     salt : str
-        What its cache is kept under.
+        Cache salt.
     weights_version : int or None
-        Only this version of the weights may run it.
+        The only weights version that may run the request.
     resume_after : str or None
-        Event after which a stream goes on.
+        ID of the event after which a stream resumes.
     copy_to : str
-        ``IP:port`` of the engine that is to hold a copy of the run's
-        memory, or empty.
+        ``IP:port`` of the engine that is to hold a copy of the run's KV
+        cache, or empty.
     continue_at : str
-        ``IP:port`` at which such a copy lies from which the run goes on,
-        or empty.
+        ``IP:port`` of the engine that holds such a copy and continues the
+        run from it, or empty.
     fetch_from, save_to : str
-        ``IP:port`` of where cached parts are got from and kept, or empty.
+        ``IP:port`` from which cached parts are fetched, and to which they
+        are saved, or empty.
     """
 
     upstream: model.Upstream
@@ -49,26 +50,26 @@
 
 @attrs.frozen
 class AnswerFacts:
-    """What the head of an upstream's answer says.
+    """Information in the head of an upstream's answer.
 
     Parameters
     ----------
     is_for_request : bool
-        Whether it bears the identity of the request that was sent.
+        Whether it carries the ID of the request that was sent.
     names_no_request : bool
-        Whether it bears no request's identity.
+        Whether it carries no request ID.
     has_not_run : bool
         Whether the upstream proves that it has not run the request.
     is_other_process : bool
         Whether another process answered.
     has_other_weights : bool
-        Whether the upstream has not run it for having other weights.
+        Whether the upstream did not run it because its weights differ.
     is_sealed : bool
-        Whether the upstream vouches for the answer.
+        Whether it carries the seal that upstreams put on their answers.
     load : model.Load or None
-        Its load.
+        The upstream's load.
     weights_version : int or None
-        Version of the weights that the answer is made on.
+        Weights version that produced the answer.
     """
 
     is_for_request: bool
@@ -82,11 +83,11 @@
 
 
 class Dialect(abc.ABC):
-    """How callers and upstreams speak."""
+    """Wire format of callers and upstreams."""
 
     @abc.abstractmethod
     def read_call(self, head: message.RequestHead) -> model.Call:
-        """Read a caller's request.
+        """Parse the head of a caller's request.
 
         Raises
         ------
@@ -108,14 +109,14 @@
     def answer_facts(
         self, call: model.Call, answer: message.AnswerHead
     ) -> AnswerFacts:
-        """Read the head of an upstream's answer."""
+        """Parse the head of an upstream's answer."""
 
     @abc.abstractmethod
     def error_answer(
         self, error: errors.RudderError, request_id: str
     ) -> tuple[message.Headers, bytes]:
-        """Return fields and body of a refusal."""
+        """Return headers and body of an error answer."""
 
     @abc.abstractmethod
     def event_id(self, event: bytes) -> str | None:
-        """Return the identity of one whole event of a stream."""
+        """Return the ID of one complete event of a stream, or None."""
--- a/toucanrudder/forwarding/events.py
+++ b/toucanrudder/forwarding/events.py
@@ -1,17 +1,17 @@
-"""Server-sent events as whole pieces of bytes.  No I/O."""
+"""Splitting of a byte stream into server-sent events.  No I/O."""
 
-#: Longest event that is held until its end; a longer one is no event.
+#: Longest event that is buffered; a longer one is an error.
 MAX_EVENT_BYTES = 1_048_576
 
 _SEPARATORS = (b"\n\n", b"\r\n\r\n")
 
 
 class EventSplitter:
-    """Cuts a stream at the ends of its events.
+    """Splits a stream into complete events.
 
-    An upstream that crashes may stop in the middle of an event.  Passed
-    on, that half would be joined with the first event of the run that
-    goes on elsewhere.
+    An upstream that crashes may stop within an event.  If that fragment
+    were relayed, it would be joined with the first event of the run that
+    continues elsewhere.
 
     Examples
     --------
@@ -26,22 +26,22 @@
         self.rest = b""
 
     def feed(self, content: bytes) -> list[bytes]:
-        """Return the events that are whole now."""
+        """Return the events that the content completes."""
         pending = self.rest + content
-        found = []
+        complete = []
         while (end := _end_of_event(pending)) >= 0:
-            found.append(pending[:end])
+            complete.append(pending[:end])
             pending = pending[end:]
         if len(pending) > MAX_EVENT_BYTES:
-            raise ValueError("an event is too long")
+            raise ValueError("event exceeds the size limit")
         self.rest = pending
-        return found
+        return complete
 
 
 def _end_of_event(pending: bytes) -> int:
     ends = [
-        found + len(each)
-        for each in _SEPARATORS
-        if (found := pending.find(each)) >= 0
+        position + len(separator)
+        for separator in _SEPARATORS
+        if (position := pending.find(separator)) >= 0
     ]
     return min(ends, default=-1)
--- a/toucanrudder/forwarding/forwarder.py
+++ b/toucanrudder/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""Answers callers: one execution for each request, whatever happens."""
+"""Handling of callers' requests, including refusals and errors."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,14 +18,14 @@
 from toucanrudder.observability import decisions
 from toucanrudder.observability import metrics
 
-#: Objectives that must be left until the end of a planned stop for a
-#: request to be taken: while engines are overloaded, one in a hundred
-#: takes five of them.
+#: Remaining time until the end of a planned stop, as a multiple of a
+#: route's latency objective, for a request to be accepted: under overload
+#: of the engines, the 99th percentile is five objectives.
 DRAIN_OBJECTIVES = 6.0
 
-#: Seconds from the beginning of a planned stop in which streams are taken
-#: that may last longer than what is left of it.  The balancer needs as
-#: long to notice; what comes later comes on connections kept open.
+#: Seconds from the start of a planned stop within which streams are
+#: accepted that may outlast it.  The load balancer needs this long to stop
+#: sending; later requests arrive only on connections that stay open.
 DRAIN_LONG_STREAMS_S = 3.0
 
 
@@ -34,32 +34,32 @@
     wait_s: float | None,
     *,
     stopping_for_s: float,
-    left_s: float,
+    remaining_s: float,
 ) -> bool:
-    """Say whether a request's answer will be whole before a planned stop.
+    """Return whether an answer will be complete before a planned stop.
 
-    Failure: a stream of many events is taken late in a planned stop.
-    Symptom: it is cut in its midst when the process ends, and may not be
-    sent again.  How long it lasts is the engine's matter, so once the
-    balancer has noticed, a stream is taken only if even its time limit
-    fits; others go to another router at once, as they have not run.
+    A long stream that is accepted late in a planned stop would be cut when
+    the process ends, and might not be repeatable.  Its duration depends on
+    the engine, so once the load balancer has stopped sending, a stream is
+    accepted only if its whole time limit fits.  Others are refused as not
+    run, and callers send them to another router.
 
     Parameters
     ----------
     route : model.Route
-        The request's.
+        The request's route.
     wait_s : float or None
         How long its caller will wait.
-    stopping_for_s, left_s : float
-        Time since the stop began, and until its end.
+    stopping_for_s, remaining_s : float
+        Time since the start of the stop, and until its end.
 
     Examples
     --------
     >>> stream = model.Route("r", "h", "/", (), is_stream=True,
     ...     timeout_s=12.0, objective_s=0.4)
-    >>> finishes_before_stop(stream, None, stopping_for_s=1.0, left_s=6.6)
+    >>> finishes_before_stop(stream, None, stopping_for_s=1.0, remaining_s=6.6)
     True
-    >>> finishes_before_stop(stream, None, stopping_for_s=4.7, left_s=2.9)
+    >>> finishes_before_stop(stream, None, stopping_for_s=4.7, remaining_s=2.9)
     False
     """
     needs_s = DRAIN_OBJECTIVES * route.objective_s
@@ -68,20 +68,20 @@
         if wait_s is not None:
             longest_s = min(longest_s, wait_s)
         needs_s = max(needs_s, longest_s)
-    return needs_s <= left_s
+    return needs_s <= remaining_s
 
 
 class Forwarder:
-    """Answers callers' requests.
+    """Handles callers' requests.
 
     Parameters
     ----------
     state : states.ForwardingState
-        This router's tables.
+        This router's state.
     dialect : dialects.Dialect
-        Says and reads what is on the wire.
+        Reads and writes heads and events.
     gate : capping.CapGate
-        Keeps usage caps.
+        Enforces usage caps.
     """
 
     def __init__(
@@ -97,7 +97,7 @@
     async def handle(
         self, request: server.Request, answer: server.Answer
     ) -> None:
-        """Answer one request, whatever happens."""
+        """Answer one request, with an error if it fails."""
         summary = _RequestSummary()
         self.state.open_requests += 1
         try:
@@ -154,11 +154,11 @@
     def _refuse_if_cut_by_stop(
         self, route: model.Route, call: model.Call
     ) -> None:
-        """Refuse what would be cut at the end of a planned stop.
+        """Refuse a request that would be cut at the end of a planned stop.
 
-        A caller who keeps using his connection gets his answer as long as
-        it can be whole by then; later he is sent to another router at
-        once, instead of losing a request half-way.
+        A caller that keeps its connection open is served as long as the
+        answer can be complete by then.  Later it is told at once to use
+        another router, instead of losing a request in progress.
         """
         if not self.state.stopping:
             return
@@ -167,7 +167,7 @@
             route,
             call.wait_s,
             stopping_for_s=now_s - self.state.stopping_since_s,
-            left_s=self.state.stop_at_s - now_s,
+            remaining_s=self.state.stop_at_s - now_s,
         ):
             raise errors.RudderError(
                 errors.Code.STOPPING,
@@ -207,11 +207,11 @@
 
 def _check_poison(execution: executions.RequestExecution) -> None:
     if execution.is_poison():
-        # It has not run this time, but must not be sent again: "not run,
-        # come back" would bring it back for ever.
+        # It has not run this time, but must not be retried: a "not run"
+        # status would make the caller repeat it indefinitely.
         raise errors.RudderError(
             errors.Code.UPSTREAM_FAILED,
-            "upstreams broke off under this request again and again",
+            "several upstreams crashed while running this request",
             step="quarantine",
             ran=errors.Ran.UNKNOWN,
         )
@@ -219,7 +219,7 @@
 
 @attrs.define
 class _RequestSummary:
-    """What is known of a request, for the log."""
+    """Properties of a request for its log line and metrics."""
 
     request_id: str = ""
     route: str = ""
