--- a/toucanrudder/forwarding/tests/test_departures.py
+++ b/toucanrudder/forwarding/tests/test_departures.py
@@ -98,7 +98,7 @@
         pytest.param(Case(30, 3, SILENT, are_apart=True), id="three-of-30"),
     ],
 )
-def test_own_outage_keeps_no_engine_that_has_left(case):
+def test_a_router_outage_keeps_no_departed_engine(case):
     """A router back from an outage of its own sends to one that has left."""
     late = {
         seed: used_by
@@ -138,6 +138,6 @@
     ],
 )
 @pytest.mark.parametrize("seed", range(6))
-def test_outage_of_the_registry_takes_no_living_engine_away(case, seed):
+def test_a_registry_outage_drops_no_live_engine(case, seed):
     """Entries that ran out in an outage make routers refuse all requests."""
     assert timing.run(functools.partial(outage, case, seed)) == 9
--- a/toucanrudder/forwarding/tests/test_starts.py
+++ b/toucanrudder/forwarding/tests/test_starts.py
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("routers", [16, 60])
-def test_a_fleet_that_starts_asks_no_more_than_one_that_runs(
+def test_a_starting_fleet_loads_the_store_no_more_than_a_running_one(
     routers, calls, monkeypatch
 ):
     """Callers wait for the configuration behind calls that nobody needs.
