--- a/toucanrudder/forwarding/tests/test_departures.py
+++ b/toucanrudder/forwarding/tests/test_departures.py
@@ -1,4 +1,4 @@
-"""Engines whose entries go while routers are cut off, on virtual time."""
+"""Engines that are deregistered while routers are cut off, in virtual time."""
 
 import asyncio
 import functools
@@ -11,19 +11,20 @@
 from toucanrudder.testing.virtual import stores
 from toucanrudder.testing.virtual import timing
 
-#: Until all routers know each other and all engines.
+#: Time until all routers know each other and all engines.
 SETTLE_S = 6.0
 
-#: Within which a router that reaches the registry must have noticed that
-#: an engine leaves, and for how long it must have reached it before.
+#: Time within which a router with access to the registry must detect that
+#: an engine has left, and time of access that it needs for that after an
+#: outage.
 NOTICE_S = 2.0
 CONTACT_S = 3.0
 
-#: After the registry's return within which engines register again.
+#: Time after an outage of the registry within which engines register again.
 RELIST_S = 2.0
 
-#: Between two looks at whom routers would send to.
-LOOK_S = 0.02
+#: Interval of the checks which engines the routers would use.
+POLL_S = 0.02
 
 SILENT, REFUSES = stores.Way.SILENT, stores.Way.REFUSES
 
@@ -34,57 +35,57 @@
 
     Parameters
     ----------
-    routers, cut : int
-        How many there are, and how many of them are cut off.
+    routers, cut_count : int
+        Number of routers, and of those that are cut off.
     way : stores.Way
-        How the store treats these.
+        How the store responds to these.
     are_apart : bool
-        Whether they reach no other router either.
+        Whether they cannot reach the other routers either.
     """
 
     routers: int
-    cut: int
+    cut_count: int
     way: stores.Way
     are_apart: bool = False
 
 
-async def started(case, seed):
-    """Start a fleet in which requests change nothing in the registry."""
+async def start_fleet(case, seed):
+    """Start a fleet; return it with the random generator of the test."""
     site = sites.Site(seed, routers=case.routers, engine_count=9)
     site.start()
     await asyncio.sleep(SETTLE_S)
     return site, random.Random(seed)
 
 
-def treat(site, names, way, apart=()):
-    for each in names:
-        site.store.treat(each, way)
+def set_store_access(site, names, way, apart=()):
+    for name in names:
+        site.store.treat(name, way)
     site.apart = set(apart)
 
 
 async def departure(case, seed):
-    """Return who would send to an engine for too long after it left."""
-    site, rng = await started(case, seed)
-    cut = rng.sample(site.names, case.cut)
-    treat(site, cut, case.way, cut if case.are_apart else ())
-    begun_s, cut_s = site.now_s(), rng.uniform(4.0, 12.0)
-    healed_s = begun_s + cut_s
+    """Return the routers that use an engine too long after it left."""
+    site, rng = await start_fleet(case, seed)
+    cut = rng.sample(site.names, case.cut_count)
+    set_store_access(site, cut, case.way, cut if case.are_apart else ())
+    start_s, cut_s = site.now_s(), rng.uniform(4.0, 12.0)
+    healed_s = start_s + cut_s
     engine = rng.choice(list(site.engines.values()))
-    # During the cut or soon after it, as often.
-    gone_s = rng.choice(
-        [begun_s + rng.uniform(0.1, cut_s), healed_s + rng.uniform(0.0, 2.0)]
+    # Equally often during the outage and soon after it.
+    left_s = rng.choice(
+        [start_s + rng.uniform(0.1, cut_s), healed_s + rng.uniform(0.0, 2.0)]
     )
-    at = asyncio.get_running_loop().call_at
-    at(healed_s, treat, site, cut, stores.Way.WELL)
-    at(gone_s, site.unlist, engine)
-    late_s = max(gone_s + NOTICE_S, healed_s + CONTACT_S)
-    await asyncio.sleep(late_s - site.now_s())
+    call_at = asyncio.get_running_loop().call_at
+    call_at(healed_s, set_store_access, site, cut, stores.Way.WELL)
+    call_at(left_s, site.unlist, engine)
+    deadline_s = max(left_s + NOTICE_S, healed_s + CONTACT_S)
+    await asyncio.sleep(deadline_s - site.now_s())
     used_by = set()
-    while site.now_s() < late_s + 5.0:
+    while site.now_s() < deadline_s + 5.0:
         used_by |= {
             name for name in site.names if engine.name in site.used_by(name)
         }
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_S)
     return used_by
 
 
@@ -99,32 +100,36 @@
     ],
 )
 def test_a_router_outage_keeps_no_departed_engine(case):
-    """A router back from an outage of its own sends to one that has left."""
-    late = {
+    """After an outage, a router must not use engines that have left.
+
+    A router that was cut off could mistake that for an outage of the
+    registry, in which missing entries stay in use.
+    """
+    late_users = {
         seed: used_by
         for seed in range(8)
         if (used_by := timing.run(functools.partial(departure, case, seed)))
     }
-    assert late == {}
+    assert late_users == {}
 
 
 async def outage(case, seed):
-    """Return the fewest engines that a router would send to."""
-    site, rng = await started(case, seed)
-    treat(site, site.names, case.way)
+    """Return the least number of engines that any router would use."""
+    site, rng = await start_fleet(case, seed)
+    set_store_access(site, site.names, case.way)
     await asyncio.sleep(rng.uniform(8.0, 12.0))
     engines = list(site.engines.values())
-    for each in engines:
-        site.unlist(each)
+    for engine in engines:
+        site.unlist(engine)
     await asyncio.sleep(rng.uniform(0.0, 3.0))
-    treat(site, site.names, stores.Way.WELL)
-    back_s = site.now_s()
-    at = asyncio.get_running_loop().call_at
-    for each in engines:
-        at(back_s + rng.uniform(0.2, RELIST_S), site.relist, each)
+    set_store_access(site, site.names, stores.Way.WELL)
+    recovered_s = site.now_s()
+    call_at = asyncio.get_running_loop().call_at
+    for engine in engines:
+        call_at(recovered_s + rng.uniform(0.2, RELIST_S), site.relist, engine)
     fewest = len(engines)
-    while site.now_s() < back_s + 8.0:
-        await asyncio.sleep(LOOK_S)
+    while site.now_s() < recovered_s + 8.0:
+        await asyncio.sleep(POLL_S)
         fewest = min(fewest, *(len(site.used_by(name)) for name in site.names))
     return fewest
 
@@ -139,5 +144,5 @@
 )
 @pytest.mark.parametrize("seed", range(6))
 def test_a_registry_outage_drops_no_live_engine(case, seed):
-    """Entries that ran out in an outage make routers refuse all requests."""
+    """Otherwise expired entries would make routers refuse all requests."""
     assert timing.run(functools.partial(outage, case, seed)) == 9
--- a/toucanrudder/forwarding/tests/test_starts.py
+++ b/toucanrudder/forwarding/tests/test_starts.py
@@ -1,4 +1,4 @@
-"""What a fleet that starts as a whole asks of the store."""
+"""Store load of a fleet whose routers all start at once."""
 
 import asyncio
 import collections
@@ -17,21 +17,23 @@
 
 ENGINES = 20
 
-#: Until the routers know each other and do what is theirs.
+#: Time until the routers know each other and have divided the duties.
 STARTED_S = 4.0
 
-#: Calls of each router by then: a list of the configuration, the registry,
-#: the weights and the lease, a watch of the first, and a question for what
-#: the registry's readers do not remember.
-MOST_CALLS = 6
+#: Store calls of each router by then: a listing of the configuration, the
+#: registry, the weights and the lease, a watch of the configuration, and a
+#: call for changes that the registry's readers do not have.
+MAX_CALLS_PER_ROUTER = 6
 
-#: Routers that do a part for all, each with a call a second for it.
-FEW = fanout.READERS + store_watch.WEIGHTS_WATCHERS + orders.LEASE_WATCHERS
+#: Routers with a duty for the whole fleet, each with a call per second.
+DUTY_ROUTERS = (
+    fanout.READERS + store_watch.WEIGHTS_WATCHERS + orders.LEASE_WATCHERS
+)
 
 
 @attrs.define(eq=False)
 class Calls:
-    """Routers that made each call, by its verb and kind."""
+    """Number of calls by router, for each method and kind."""
 
     by_call: dict = attrs.field(
         factory=lambda: collections.defaultdict(collections.Counter)
@@ -39,40 +41,41 @@
 
     @property
     def count(self):
-        return sum(made.total() for made in self.by_call.values())
+        return sum(counts.total() for counts in self.by_call.values())
 
 
 @pytest.fixture
 def calls(monkeypatch):
-    noted = Calls()
+    recorded = Calls()
 
-    def counted(verb):
-        make = getattr(stores.Client, verb)
+    def count_calls(method):
+        original = getattr(stores.Client, method)
 
         async def call(self, kind, *args, **kwargs):
-            noted.by_call[verb, kind][self._router] += 1
-            return await make(self, kind, *args, **kwargs)
+            recorded.by_call[method, kind][self._router] += 1
+            return await original(self, kind, *args, **kwargs)
 
-        monkeypatch.setattr(stores.Client, verb, call)
+        monkeypatch.setattr(stores.Client, method, call)
 
-    for verb in ("snapshot", "changes", "get"):
-        counted(verb)
-    return noted
+    for method in ("snapshot", "changes", "get"):
+        count_calls(method)
+    return recorded
 
 
 @pytest.mark.parametrize("routers", [16, 60])
 def test_a_starting_fleet_loads_the_store_no_more_than_a_running_one(
     routers, calls, monkeypatch
 ):
-    """Callers wait for the configuration behind calls that nobody needs.
+    """Otherwise reads of the configuration queue behind unneeded calls.
 
-    All routers start at once, each knows nobody and takes itself for the
-    first in line.  So all of them list and watch what a few are to follow
-    for the rest, and the store's rate is used up when it is needed most.
+    When all routers start at once, none knows any peer, and each takes
+    itself for the first in the order of takeover.  Then all of them would
+    list and watch what a few should watch for the rest, and use up the
+    store's rate limit.
     """
 
-    lines = []
-    monkeypatch.setattr(decisions, "record", lines.append)
+    log_records = []
+    monkeypatch.setattr(decisions, "record", log_records.append)
 
     async def main():
         site = sites.Site(3, routers=routers, engine_count=ENGINES)
@@ -84,20 +87,25 @@
             for node in site.nodes.values()
         ]
 
-    astray, weights = timing.run(main)
-    assert not astray
-    # Each has read the weights itself: nobody could have told it.
+    inconsistent_routers, weights = timing.run(main)
+    assert not inconsistent_routers
+    # Each router has read the weights itself, as no peer knew them.
     assert weights == [1] * routers
     by_call = calls.by_call
-    # The first in line may have just started, and counts from its look on.
+    # Each reads the lease once, so that its age is known after a failover.
     assert by_call["snapshot", holder.KIND].total() == routers
     assert len(by_call["changes", holder.KIND]) <= orders.LEASE_WATCHERS
     watched = by_call["changes", sites.WEIGHTS]
     assert len(watched) <= store_watch.WEIGHTS_WATCHERS
-    assert calls.count <= MOST_CALLS * routers + FEW * STARTED_S
-    # Each duty is taken up once, and none is given back.
+    assert (
+        calls.count
+        <= MAX_CALLS_PER_ROUTER * routers + DUTY_ROUTERS * STARTED_S
+    )
+    # Each duty is taken once and never given up.
     duties = collections.Counter(
-        line.duty for line in lines if isinstance(line, decisions.DutyChanged)
+        record.duty
+        for record in log_records
+        if isinstance(record, decisions.DutyChanged)
     )
     assert duties == {
         "registry": fanout.READERS,
