--- a/toucanrudder/forwarding/daemon.py
+++ b/toucanrudder/forwarding/daemon.py
@@ -249,7 +249,7 @@
             self.state,
             self.engine_calls,
             lease,
-            place_in_line=self.store_watch.takeover_rank,
+            takeover_rank=self.store_watch.takeover_rank,
             avoid=self.avoid,
         )
         self.state.report_weights_mismatch = controller.refresh_weights
--- a/toucanrudder/forwarding/orders.py
+++ b/toucanrudder/forwarding/orders.py
@@ -64,7 +64,7 @@
         Calls to engines.
     lease : holder.LeaseHolder
         Proves that no other router gives orders.
-    place_in_line : callable
+    takeover_rank : callable
         Returns the number of live routers that go before this one.
     avoid : callable
         Takes the incarnation of an engine that is about to load and the
@@ -77,12 +77,12 @@
         dialect: loading.OrderDialect,
         lease: holder.LeaseHolder,
         *,
-        place_in_line: Callable[[], int],
+        takeover_rank: Callable[[], int],
         avoid: Callable[[str, float], Awaitable[None]],
     ):
         self._state = state
         self._lease = lease
-        self._place_in_line = place_in_line
+        self._takeover_rank = takeover_rank
         self._loader = loading.Loader(
             state, dialect, lease, avoid=avoid, on_answer=self._on_answer
         )
@@ -237,7 +237,7 @@
             return False
         waited_s = now_s - self._outstanding_since_s
         return waited_s >= turns.start_delay_s(
-            self._place_in_line(),
+            self._takeover_rank(),
             TAKEOVER_DELAY_S,
             self._state.registry.overdue_s(now_s),
             self._lease.timing.takeover_after_s,
--- a/toucanrudder/forwarding/tests/test_cache_feed.py
+++ b/toucanrudder/forwarding/tests/test_cache_feed.py
@@ -1,4 +1,4 @@
-"""Questions about caches that end in an unexpected way."""
+"""Polls of cache events after unexpected errors and router changes."""
 
 import asyncio
 import collections
@@ -20,7 +20,7 @@
 
 
 class Dialect(cache_feed.CacheDialect):
-    """Answers, but does once what it is given for one source."""
+    """Answers polls, except for one fault at one source."""
 
     def __init__(self, faulty, fault):
         self.faulty = faulty
@@ -46,14 +46,14 @@
     raise asyncio.CancelledError
 
 
-def _strange():
+def _malformed():
     return cache_feed.CacheUpdate(1, 1, (None,))
 
 
 FAULTS = [
     pytest.param(_broken, "RuntimeError", id="dialect"),
     pytest.param(_cancelled, "CancelledError", id="cancelled"),
-    pytest.param(_strange, "AttributeError", id="index"),
+    pytest.param(_malformed, "AttributeError", id="index"),
 ]
 
 
@@ -70,7 +70,7 @@
     return state, controller
 
 
-def _known(state):
+def _cached_sources(state):
     return [
         name
         for name in ("e1", "e2")
@@ -79,13 +79,13 @@
 
 
 @pytest.mark.parametrize(("fault", "logged"), FAULTS)
-def test_a_source_is_asked_again_after_an_unexpected_end(
+def test_a_source_is_polled_again_after_an_unexpected_error(
     fault, logged, caplog
 ):
-    """Prompts that an engine holds are computed again, for ever.
+    """Guards against cached prompts that are prefilled again for good.
 
-    The task that asks it ends by an error that nobody expected.  It stays
-    in the table of those that ask, so that no other takes its place.
+    The task that polls an engine ends by an unexpected error.  It stayed in
+    the table of polls, so that no other task replaced it.
     """
 
     async def main():
@@ -93,30 +93,30 @@
         running = asyncio.ensure_future(controller.run())
         await asyncio.sleep(FAULT_S + 2 * cache_feed.REFRESH_INTERVAL_S + 2.5)
         running.cancel()
-        return _known(state)
+        return _cached_sources(state)
 
     with caplog.at_level(logging.ERROR, cache_feed.__name__):
         assert timing.run(main) == ["e1", "e2"]
     (line,) = [
-        each.getMessage()
-        for each in caplog.records
-        if each.name == cache_feed.__name__
+        record.getMessage()
+        for record in caplog.records
+        if record.name == cache_feed.__name__
     ]
     assert "e1" in line
     assert logged in line
 
 
-def test_all_sources_are_asked_again_after_a_restart():
-    """No engine's cache is used any more, for ever.
+def test_all_sources_are_polled_again_after_a_restart():
+    """Guards against caches that are not used any more.
 
-    A look ends by an error, and with it the controller, which cancels all
-    tasks.  Started again, it finds them in its table and starts none.
+    A check ends by an error, and with it the controller, which cancels all
+    tasks.  Restarted, it found them in its table and started none.
     """
-    left = [True]
+    pending_faults = [True]
 
     def routers():
-        if left and clock.now_s() >= FAULT_S:
-            left.pop()
+        if pending_faults and clock.now_s() >= FAULT_S:
+            pending_faults.pop()
             raise RuntimeError("fault")
         return ["r0"]
 
@@ -127,25 +127,25 @@
         running = asyncio.ensure_future(controller.run())
         await asyncio.sleep(2.5)
         running.cancel()
-        return _known(state)
+        return _cached_sources(state)
 
     assert timing.run(main) == ["e1", "e2"]
 
 
-class Counting(cache_feed.CacheDialect):
-    """Counts the questions to each source."""
+class CountingDialect(cache_feed.CacheDialect):
+    """Counts the polls of each source."""
 
     def __init__(self):
-        self.asked = collections.Counter()
+        self.polls = collections.Counter()
 
     async def cache_events(self, source, since, *, wait_s):
-        self.asked[cache_feed.source_key(source)] += 1
+        self.polls[cache_feed.source_key(source)] += 1
         await asyncio.sleep(wait_s)
         return cache_feed.CacheUpdate(1, since + 1, ())
 
 
-GROWTH = [
-    # Routers known by second, whether engines are asked within 3.5 s.
+ROUTER_COUNTS = [
+    # Number of routers by second; whether engines are polled within 3.5 s.
     pytest.param({0.0: 1, 0.6: 40}, False, id="all start at once"),
     pytest.param({0.0: 1, 0.4: 5, 1.1: 20, 1.8: 195}, False, id="slowly"),
     pytest.param({0.0: 1, 0.6: 8}, True, id="few"),
@@ -153,18 +153,19 @@
 ]
 
 
-@pytest.mark.parametrize(("known", "is_asked"), GROWTH)
-def test_engines_are_asked_once_the_routers_are_known(known, is_asked):
-    """Callers get no answer for seconds after all routers have restarted.
+@pytest.mark.parametrize(("counts", "is_polled"), ROUTER_COUNTS)
+def test_engines_are_polled_once_the_routers_are_known(counts, is_polled):
+    """Guards against requests that wait for seconds after a full restart.
 
-    Each router knows nobody yet and takes itself for the only one.  So all
-    ask all engines for everything in their caches, and read for seconds.
+    Each router knows no other yet and takes itself for the only one, so all
+    would poll all engines for their whole caches and spend seconds on the
+    answers.
     """
-    dialect = Counting()
+    dialect = CountingDialect()
 
     def routers():
-        latest = max(at_s for at_s in known if at_s <= clock.now_s())
-        return [f"r{number}" for number in range(known[latest])]
+        latest = max(at_s for at_s in counts if at_s <= clock.now_s())
+        return [f"r{number}" for number in range(counts[latest])]
 
     async def main():
         _state, controller = _controller(None, routers=routers)
@@ -174,11 +175,11 @@
         running.cancel()
 
     timing.run(main)
-    assert bool(dialect.asked) is is_asked
+    assert bool(dialect.polls) is is_polled
 
 
-def test_parts_are_forgotten_with_their_weights():
-    """A router's memory grows with each version, for as long as it lives."""
+def test_parts_are_dropped_with_their_weights():
+    """Guards against memory that grows with each version of the weights."""
 
     async def main():
         state, controller = _controller(None)
--- a/toucanrudder/forwarding/tests/test_capping.py
+++ b/toucanrudder/forwarding/tests/test_capping.py
@@ -13,16 +13,18 @@
 
 BOUNDS = sites.CAP_BOUNDS
 
-#: Until the routers know each other.
+#: Time until the routers know each other.
 STARTED_S = 4.0
 
-#: How long organisations send.
-SENT_S = 24.0
+#: Time for which organisations send.
+SENDING_S = 24.0
 
-#: Part of the cap that is served to an organisation that asks for more.
-SERVED_SHARE = 0.97
+#: Least share of the cap that is granted to an organisation that asks for
+#: more.
+MIN_SERVED_SHARE = 0.97
 
-#: Tokens of a prompt and its answer: most are small, some fill the window.
+#: Tokens of a prompt and its answer, and their share of the requests: most
+#: are small, some fill the window.
 SIZES = ((2_400, 0.7), (12_000, 0.25), (54_600, 0.05))
 
 
@@ -32,14 +34,14 @@
 
     site: sites.Site
     organisation: model.Organisation
-    times: float
+    rate_factor: float
     granted: list = attrs.field(factory=list)
     refused: list = attrs.field(factory=list)
 
     @property
     def gap_s(self):
         mean = sum(tokens * share for tokens, share in SIZES)
-        return mean / (self.times * self.organisation.rate_per_s)
+        return mean / (self.rate_factor * self.organisation.rate_per_s)
 
     async def run(self):
         rng = random.Random(self.site.seed)
@@ -63,8 +65,8 @@
         except errors.RudderError as error:
             self.refused.append((self.site.now_s(), tokens, error))
 
-    def most_in_window(self):
-        """Return the most tokens granted in any window."""
+    def max_in_window(self):
+        """Return the largest number of tokens granted in any window."""
         most = 0.0
         for began_s, _, _ in self.granted:
             until_s = began_s + BOUNDS.window_s
@@ -73,14 +75,14 @@
         return most
 
     def served_share(self, since_s):
-        """Return what was granted since then, as a share of the rate."""
+        """Return the tokens granted since then, as a share of the cap."""
         granted = sum(t for s, t, _ in self.granted if s >= since_s)
         passed_s = self.site.now_s() - since_s
         return granted / (self.organisation.rate_per_s * passed_s)
 
 
-async def nothing(site):
-    """No disturbance."""
+async def no_fault(site):
+    """No fault."""
 
 
 async def a_third_is_cut_off(site):
@@ -125,18 +127,18 @@
 ]
 
 
-def played(seed, routers, organisation, times, fault):
+def run_scenario(seed, routers, organisation, rate_factor, fault):
     async def main():
         site = sites.Site(seed, routers=routers, engine_count=1)
         with sites.unpacked():
             site.start()
             await asyncio.sleep(STARTED_S)
-            caller = Caller(site, organisation, times)
+            caller = Caller(site, organisation, rate_factor)
             site._spawn(caller.run())
             began_s = site.now_s()
             site._spawn(fault(site))
-            await asyncio.sleep(SENT_S)
-        # The first second uses up the burst.
+            await asyncio.sleep(SENDING_S)
+        # The burst is used up in the first second.
         return caller, caller.served_share(began_s + 1.0)
 
     return timing.run(main)
@@ -146,28 +148,28 @@
 @pytest.mark.parametrize(
     "organisation", [sites.SMALL, sites.LARGE], ids=["small", "large"]
 )
-def test_one_that_asks_for_more_gets_its_cap_and_no_more(
-    organisation, routers
-):
+def test_excess_demand_gets_the_cap_and_no_more(organisation, routers):
     # Equal shares of the cap are smaller than one request here.
-    caller, served_share = played(5, routers, organisation, 2.0, nothing)
+    caller, served_share = run_scenario(
+        5, routers, organisation, 2.0, no_fault
+    )
     cap = organisation.cap
-    assert served_share >= SERVED_SHARE
-    # Without a fault, half of what may pass beyond the cap is enough.
+    assert served_share >= MIN_SERVED_SHARE
+    # Without a fault, at most half of the use allowed beyond the cap is made.
     half = (BOUNDS.window_limit(cap) + BOUNDS.window_allowance(cap)) / 2
-    assert caller.most_in_window() <= half
+    assert caller.max_in_window() <= half
     assert all(error.retry_after_s > 0 for _, _, error in caller.refused)
-    # Large requests pass as often as small ones.
+    # Large requests are granted at least half as often as all.
     large = max(tokens for tokens, _ in SIZES)
     passed = sum(tokens == large for _, tokens, _ in caller.granted)
-    turned_away = sum(tokens == large for _, tokens, _ in caller.refused)
+    rejected = sum(tokens == large for _, tokens, _ in caller.refused)
     share = len(caller.granted) / (len(caller.granted) + len(caller.refused))
-    assert passed >= share / 2 * (passed + turned_away)
+    assert passed >= share / 2 * (passed + rejected)
 
 
 @pytest.mark.parametrize("routers", [8, 65, 195])
-def test_one_below_its_cap_is_refused_nothing(routers):
-    caller, _ = played(6, routers, sites.LARGE, 0.55, nothing)
+def test_demand_below_the_cap_is_not_refused(routers):
+    caller, _ = run_scenario(6, routers, sites.LARGE, 0.55, no_fault)
     assert not caller.refused
 
 
@@ -176,10 +178,10 @@
 @pytest.mark.parametrize(
     "organisation", [sites.SMALL, sites.LARGE], ids=["small", "large"]
 )
-@pytest.mark.parametrize("times", [4.7, 20.0])
-def test_a_cap_holds_whatever_happens_to_routers(
-    organisation, fault, seed, times
+@pytest.mark.parametrize("rate_factor", [4.7, 20.0])
+def test_a_cap_holds_during_failures_of_routers(
+    organisation, fault, seed, rate_factor
 ):
-    # Routers that have forgotten, or cannot ask, admit for themselves.
-    caller, _ = played(seed, 65, organisation, times, fault)
-    assert caller.most_in_window() <= BOUNDS.window_limit(organisation.cap)
+    # Routers that lost their balances or cannot ask an owner decide alone.
+    caller, _ = run_scenario(seed, 65, organisation, rate_factor, fault)
+    assert caller.max_in_window() <= BOUNDS.window_limit(organisation.cap)
--- a/toucanrudder/forwarding/tests/test_orders.py
+++ b/toucanrudder/forwarding/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to load weights that some engines do not answer."""
+"""Orders to load weights where some engines do not answer."""
 
 import asyncio
 import random
@@ -18,17 +18,17 @@
 from toucanrudder.store import memory
 from toucanrudder.testing.virtual import timing
 
-#: Where a fleet must have followed, and how long an engine loads.
+#: Time within which a fleet must have new weights, and the time of a load.
 BOUND_S = 10.0
 LOAD_S = 0.4
 
-#: How often the registry says that nothing has changed.
-CONFIRMED_EACH_S = 1.0
+#: Interval of the registry's answers without changes.
+SYNC_INTERVAL_S = 1.0
 
 
 @attrs.define
 class Engine:
-    """An engine that loads what it is ordered to."""
+    """An engine that loads the weights that it is ordered to."""
 
     weights: int = 1
     is_silent: bool = False
@@ -37,21 +37,21 @@
 
 
 class Dialect(loading.OrderDialect):
-    """Calls over a link that may be choked."""
+    """Calls over a link that may drop everything."""
 
-    def __init__(self, engines, is_choked=False):
+    def __init__(self, engines, is_blocked=False):
         self.engines = engines
-        self.is_choked = is_choked
+        self.is_blocked = is_blocked
 
     async def report(self, upstream, *, timeout_s):
         engine = self.engines.get(upstream.incarnation)
-        if engine is None or engine.is_silent or self.is_choked:
+        if engine is None or engine.is_silent or self.is_blocked:
             await asyncio.sleep(timeout_s)
             return None
         await asyncio.sleep(0.01)
         is_busy = clock.now_s() < engine.busy_until_s
-        has = engine.weights - is_busy
-        return rollout.EngineReport({"m": has}, is_busy, orders=engine.seq)
+        version = engine.weights - is_busy
+        return rollout.EngineReport({"m": version}, is_busy, orders=engine.seq)
 
     async def load(self, task, report, *, timeout_s, **given):
         engine = self.engines[task.upstream.incarnation]
@@ -61,16 +61,16 @@
         return True
 
 
-async def _confirms(registry):
-    """Let the registry answer, with no change to tell."""
+async def _sync(registry):
+    """Let the registry answer without changes."""
     while True:
         now_s = clock.now_s()
-        registry.mark_synced(now_s, now_s + CONFIRMED_EACH_S)
-        await asyncio.sleep(CONFIRMED_EACH_S)
+        registry.mark_synced(now_s, now_s + SYNC_INTERVAL_S)
+        await asyncio.sleep(SYNC_INTERVAL_S)
 
 
 class Fleet:
-    """Engines, and routers that may give them orders."""
+    """Engines and the routers that may order them."""
 
     def __init__(self, engines):
         self.engines = engines
@@ -79,7 +79,7 @@
         self.routers = 0
         self.states = []
 
-    def router(self, place, known, is_choked=False):
+    def router(self, place, listed, is_blocked=False):
         rng = random.Random(place)
         self.routers += 1
         state = states.ForwardingState(
@@ -91,7 +91,7 @@
         )
         service = model.Service("s", model.Engine(64, 100_000))
         state.offer(model.Configuration(1, services={"s": service}))
-        for name in known:
+        for name in listed:
             entry = model.Upstream(name, "s", f"{name}:80", weights={"m": 1})
             state.registry.put(entry)
         state.record_weights_version("m", 2, clock.now_s())
@@ -106,24 +106,24 @@
         )
 
         async def avoid(incarnation, for_s):
-            # Peers that are silent hold a round up for this long.
+            # Silent peers delay the call for this long.
             await asyncio.sleep(0.1)
 
         controller = orders.RolloutController(
             state,
-            Dialect(self.engines, is_choked),
+            Dialect(self.engines, is_blocked),
             lease,
-            place_in_line=lambda: place,
+            takeover_rank=lambda: place,
             avoid=avoid,
         )
         self.running.append(asyncio.ensure_future(controller.run()))
-        self.running.append(asyncio.ensure_future(_confirms(state.registry)))
+        self.running.append(asyncio.ensure_future(_sync(state.registry)))
 
-    async def lag_after(self, wait_s, version=2):
-        """Return the engines that answer and have older weights."""
+    async def lagging_after(self, wait_s, version=2):
+        """Stop after a while; return answering engines with older weights."""
         await asyncio.sleep(wait_s)
-        for each in self.running:
-            each.cancel()
+        for task in self.running:
+            task.cancel()
         await asyncio.gather(*self.running, return_exceptions=True)
         return sorted(
             name
@@ -136,31 +136,32 @@
     ("count", "silent"),
     [(45, 0), (45, 4), (45, 9), (45, 11), (45, 15), (45, 22), (2, 1), (3, 1)],
 )
-def test_silent_engines_leave_room_for_others(count, silent):
-    """Engines that answer get new weights in time, whatever others do.
+def test_silent_engines_do_not_block_others(count, silent):
+    """Engines that answer get new weights in time.
 
-    Of the engines some are silent, without a reset, while new weights are
-    named.  No requests run there any more, so they are the least busy and
-    go first; each takes a place until a call to it has timed out, and is
-    then as good a choice as before.
+    Some engines are silent, without a connection reset, while new weights
+    are named.  They run no requests, so as the least busy they are ordered
+    first; each holds a load slot until a call has timed out and would then
+    be chosen again.
     """
     names = [f"i{number:02}" for number in range(count)]
 
-    async def day():
+    async def scenario():
         engines = {
             name: Engine(is_silent=place < silent)
             for place, name in enumerate(names)
         }
         fleet = Fleet(engines)
         fleet.router(0, names)
-        return await fleet.lag_after(BOUND_S)
+        return await fleet.lagging_after(BOUND_S)
 
-    assert timing.run(day) == []
+    assert timing.run(scenario) == []
 
 
-#: What keeps the first in line from doing the work: its list of engines,
-#: and its link to them.  The first row does not keep it from letting go.
-HINDERED = {
+#: What keeps the first in line from ordering the engine: its list of engines
+#: and whether its link to them is blocked.  With the empty list it sees no
+#: outstanding loads and does not hold the lease.
+BLOCKED = {
     "its list is empty": ([], False),
     "its list names an engine that is gone instead": (["gone"], False),
     "no engine answers it in time": (["i1"], True),
@@ -168,62 +169,64 @@
 
 
 @pytest.mark.parametrize(
-    ("known", "is_choked"), HINDERED.values(), ids=HINDERED.keys()
+    ("listed", "is_blocked"), BLOCKED.values(), ids=BLOCKED.keys()
 )
-def test_work_goes_on_where_the_holder_gets_none_done(known, is_choked):
-    """An engine gets its weights from whichever router can give orders.
-
-    The first in line holds the lease and renews it: it believes that work
-    is left.  None of its orders succeeds, or the engine is not on its
-    list.  The second in line could give the order at any time, and must
-    come to its turn although the first one never falls silent.
+def test_the_next_router_takes_over_from_a_holder_without_progress(
+    listed, is_blocked
+):
+    """Engines get their weights from any router that can order them.
+
+    The first in line holds and renews the lease, as it believes that loads
+    are outstanding.  None of its orders succeeds, or the engine is not on
+    its list.  The second in line could order the engine at any time and
+    must get its turn although the first one is alive.
     """
 
-    async def day():
+    async def scenario():
         fleet = Fleet({"i1": Engine()})
-        fleet.router(0, known, is_choked)
+        fleet.router(0, listed, is_blocked)
         fleet.router(1, ["i1"])
-        return await fleet.lag_after(10 * BOUND_S)
+        return await fleet.lagging_after(10 * BOUND_S)
 
-    assert timing.run(day) == []
+    assert timing.run(scenario) == []
 
 
-def test_the_next_holder_gets_past_silent_engines():
-    """Engines that answer follow although the first holder reached none.
+def test_the_next_holder_orders_engines_beside_silent_ones():
+    """Engines that answer get weights although the first holder reached none.
 
-    The first in line gives its turn up.  The next one waits a second for
-    what that one may have sent, then asks the engines with the least work
-    first: those that are silent.  It must not take them for all engines,
-    or one router after the other would give up before it has asked more.
+    The first in line ends its turn.  The next one waits a second for the
+    first one's orders in flight, then asks the least busy engines first:
+    the silent ones.  It must not conclude that all engines are silent, or
+    one router after the other would end its turn without asking more.
     """
     names = [f"i{number:02}" for number in range(45)]
 
-    async def day():
+    async def scenario():
         engines = {
             name: Engine(is_silent=place < 22)
             for place, name in enumerate(names)
         }
         fleet = Fleet(engines)
-        fleet.router(0, names, is_choked=True)
+        fleet.router(0, names, is_blocked=True)
         fleet.router(1, names)
-        return await fleet.lag_after(2 * BOUND_S)
+        return await fleet.lagging_after(2 * BOUND_S)
 
-    assert timing.run(day) == []
+    assert timing.run(scenario) == []
 
 
 @pytest.mark.parametrize("silent", [1, 15, 22, 30, 40])
 @pytest.mark.parametrize("routers", [1, 2, 3])
-def test_later_weights_reach_the_engines_that_answer(routers, silent):
-    """Engines that answer follow each version, not the first one alone.
+def test_engines_that_answer_load_each_version(routers, silent):
+    """Engines that answer get each version, not only the first one.
 
-    Some engines are silent and stay on the registry's list.  Over them one
-    router after the other has given a turn up when the next version is
-    named.  If what they have learned is forgotten with the turn, the next
-    one begins with the silent engines again and ends as early.
+    Some engines are silent and stay registered.  Because of them one router
+    after the other has ended a turn when the next version is named.  If
+    their answers are forgotten with the turn, the next turn begins with the
+    silent engines again and ends as early.
     """
     names = [f"i{number:02}" for number in range(45)]
 
-    async def day():
+    async def scenario():
         engines = {
             name: Engine(is_silent=place < silent)
             for place, name in enumerate(names)
@@ -235,21 +238,21 @@
             await asyncio.sleep(BOUND_S)
             for state in fleet.states:
                 state.record_weights_version("m", version, clock.now_s())
-        return await fleet.lag_after(BOUND_S, version)
+        return await fleet.lagging_after(BOUND_S, version)
 
-    assert timing.run(day) == []
+    assert timing.run(scenario) == []
 
 
-def test_a_holder_that_has_given_up_does_not_hold_on_later():
-    """An engine that answers follows although a blind router goes first.
+def test_a_holder_without_progress_does_not_keep_the_lease_later():
+    """An engine gets weights although the first router cannot reach any.
 
-    The first in line knows one engine that is gone, and has given a turn up
-    over it.  When the others are done it takes the lease again, for the
-    same work, and holds on.  Then an engine starts on old weights that all
-    others know of, and none of them may give it an order.
+    The first in line knows only an engine that is gone, and has ended a
+    turn because of it.  When the others are done, it takes the lease again
+    for the same load and keeps it.  Then an engine starts on old weights;
+    all other routers know it, and none of them may order it.
     """
 
-    async def day():
+    async def scenario():
         fleet = Fleet({"i1": Engine()})
         fleet.router(0, ["gone"])
         fleet.router(1, ["i1"])
@@ -257,6 +260,6 @@
         fleet.engines["i2"] = Engine()
         entry = model.Upstream("i2", "s", "i2:80", weights={"m": 1})
         fleet.states[1].registry.put(entry)
-        return await fleet.lag_after(2 * BOUND_S)
+        return await fleet.lagging_after(2 * BOUND_S)
 
-    assert timing.run(day) == []
+    assert timing.run(scenario) == []
--- a/toucanrudder/forwarding/tests/test_placing_cost.py
+++ b/toucanrudder/forwarding/tests/test_placing_cost.py
@@ -1,4 +1,4 @@
-"""Placement among many engines: the plain rule's choices, at less cost."""
+"""Choice among many engines: same results as a simple rule, at less cost."""
 
 import cProfile
 import random
@@ -18,14 +18,14 @@
 
 STORE = model.CacheStore("10.9.0.1:80", "za")
 
-#: How many times as much work a choice may be at 1,100 engines as at 62,
-#: which are 17.7 times fewer.
-MOST_GROWTH = 20.0
+#: Largest ratio of the cost of a choice at 1,100 engines to that at 62, which
+#: are 17.7 times fewer.
+MAX_GROWTH = 20.0
 
 
 @attrs.frozen
-class State:
-    """What a choice depends on."""
+class Scenario:
+    """The input of a choice."""
 
     prompt: model.Prompt
     candidates: tuple[placing.Candidate, ...]
@@ -66,7 +66,7 @@
     )
 
 
-def drawn(seed, engines=None, holding=0.3):
+def draw_scenario(seed, engines=None, holding=0.3):
     rng = random.Random(seed)
     engines = engines or rng.randint(1, 40)
     prompt_parts = parts(rng, rng.randint(1, 3))
@@ -74,35 +74,35 @@
     prompt = model.Prompt("m", prompt_parts, tokens + rng.choice((0, 900)))
     candidates = tuple(candidate(rng, n) for n in range(engines))
     index = cache.CacheIndex()
-    for each in candidates:
+    for engine in candidates:
         if rng.random() < holding:
             held = prompt_parts[: rng.randint(1, len(prompt_parts))]
-            version = each.upstream.weights.get("m")
+            version = engine.upstream.weights.get("m")
             index.add_parts(
-                each.upstream.incarnation, cache.make_salt("", version), held
+                engine.upstream.incarnation, cache.make_salt("", version), held
             )
     store = rng.choice((None, STORE))
     if store is not None and rng.random() < 0.5:
         index.add_parts(
             store.address, cache.make_salt("", 2), prompt_parts[:-1]
         )
-    return State(prompt, candidates, index, store, rng.random() < 0.5)
+    return Scenario(prompt, candidates, index, store, rng.random() < 0.5)
 
 
-def choose(state):
+def choose(scenario):
     return placing.choose_for_prompt(
-        state.prompt,
+        scenario.prompt,
         "",
-        state.candidates,
-        state.index,
-        store=state.store,
-        engines_report_cache=state.engines_report_cache,
+        scenario.candidates,
+        scenario.index,
+        store=scenario.store,
+        engines_report_cache=scenario.engines_report_cache,
         now_s=NOW_S,
     )
 
 
-# The plain rule: each engine looks among all others for its best source,
-# unless it has a store and the others do not tell what they drop.
+# The reference rule: each engine searches all others for its best source,
+# unless it has a store and the others do not report evictions.
 
 
 @attrs.frozen
@@ -114,66 +114,70 @@
     cost: float = 0.0
 
 
-def held_by(state, name, version):
-    return state.index.cached_tokens(
-        name, cache.make_salt("", version), state.prompt.parts
+def held_by(scenario, name, version):
+    return scenario.index.cached_tokens(
+        name, cache.make_salt("", version), scenario.prompt.parts
     )
 
 
-def version_of(each):
-    return each.upstream.weights.get("m")
+def version_of(engine):
+    return engine.upstream.weights.get("m")
 
 
-def plain_option(state, each, everyone, speed):
-    cached = held_by(state, each.upstream.incarnation, version_of(each))
-    option = Option(each, cached)
+def reference_option(scenario, engine, candidates, speed):
+    cached = held_by(scenario, engine.upstream.incarnation, version_of(engine))
+    option = Option(engine, cached)
     best, most = None, 0
-    may_use_store = state.store is not None and each.weights_age_s <= 0
+    may_use_store = scenario.store is not None and engine.weights_age_s <= 0
     if (
         may_use_store
-        and state.prompt.shared_parts
-        and not state.engines_report_cache
+        and scenario.prompt.shared_parts
+        and not scenario.engines_report_cache
     ):
-        everyone = ()
-    for other in everyone:
+        candidates = ()
+    for other in candidates:
         is_source = (
-            other is not each
-            and other.upstream.weights == each.upstream.weights
+            other is not engine
+            and other.upstream.weights == engine.upstream.weights
             and not other.state.failures_in_row
             and other.state.avoided_until_s <= NOW_S
         )
         if not is_source:
             continue
-        tokens = held_by(state, other.upstream.incarnation, version_of(other))
+        tokens = held_by(
+            scenario, other.upstream.incarnation, version_of(other)
+        )
         if tokens > most:
             best, most = other, tokens
     if best is not None and most - cached >= placing.MIN_COPY_TOKENS:
-        same_zone = best.upstream.zone == each.upstream.zone
+        same_zone = best.upstream.zone == engine.upstream.zone
         option = Option(
-            each,
+            engine,
             cached,
             most - cached,
             best.upstream.address,
             speed.copy_cost(same_zone=same_zone),
         )
-    if state.store is None or each.weights_age_s > 0:
+    if scenario.store is None or engine.weights_age_s > 0:
         return option
-    fetched = held_by(state, state.store.address, version_of(each)) - cached
+    fetched = (
+        held_by(scenario, scenario.store.address, version_of(engine)) - cached
+    )
     if fetched < max(placing.MIN_COPY_TOKENS, option.copied + 1):
         return option
-    same_zone = state.store.zone == each.upstream.zone
+    same_zone = scenario.store.zone == engine.upstream.zone
     return Option(
-        each,
+        engine,
         cached,
         fetched,
-        state.store.address,
+        scenario.store.address,
         speed.store_cost(same_zone=same_zone),
     )
 
 
-def plain_choice(state):
-    speed, prompt = speeds.EngineSpeeds(), state.prompt
-    names = [each.upstream.incarnation for each in state.candidates]
+def reference_choice(scenario):
+    speed, prompt = speeds.EngineSpeeds(), scenario.prompt
+    names = [engine.upstream.incarnation for engine in scenario.candidates]
     if prompt.shared_parts:
         key = stores.rendezvous_key(prompt, "")
         names = rendezvous.ranked(key, names)
@@ -181,46 +185,49 @@
 
     def cost(option):
         rank = names.index(option.candidate.upstream.incarnation)
-        got = option.cached + option.copied
-        tokens = max(0, prompt.prompt_tokens - got)
+        available = option.cached + option.copied
+        tokens = max(0, prompt.prompt_tokens - available)
         tokens += option.cost * option.copied
         if rank == 0:
-            tokens -= placing.HOME_CREDIT * max(0, shared - got)
+            tokens -= placing.HOME_CREDIT * max(0, shared - available)
         engine = placing._engine_cost(option.candidate, speed, NOW_S)
         return tokens + engine, rank
 
     options = [
-        plain_option(state, each, state.candidates, speed)
-        for each in state.candidates
+        reference_option(scenario, engine, scenario.candidates, speed)
+        for engine in scenario.candidates
     ]
     return min(options, key=cost)
 
 
 @pytest.mark.parametrize("seed", range(150))
-def test_the_choice_is_that_of_the_plain_rule(seed):
-    state = drawn(seed)
-    choice, plain = choose(state), plain_choice(state)
-    assert choice.upstream == plain.candidate.upstream
-    assert choice.copied_tokens == plain.copied
-    if plain.source:
-        assert choice.copy_from == plain.source
-    got = plain.cached + plain.copied
-    assert choice.missing_tokens == max(0, state.prompt.prompt_tokens - got)
-
-
-def calls_of(engines):
-    """Return how many calls a choice makes, steps of generators included."""
-    state = drawn(1, engines, holding=1.0)
+def test_choice_equals_that_of_the_reference_rule(seed):
+    scenario = draw_scenario(seed)
+    choice, expected = choose(scenario), reference_choice(scenario)
+    assert choice.upstream == expected.candidate.upstream
+    assert choice.copied_tokens == expected.copied
+    if expected.source:
+        assert choice.copy_from == expected.source
+    available = expected.cached + expected.copied
+    assert choice.missing_tokens == max(
+        0, scenario.prompt.prompt_tokens - available
+    )
+
+
+def count_calls(engines):
+    """Return the number of calls of a choice, generator steps included."""
+    scenario = draw_scenario(1, engines, holding=1.0)
     profile = cProfile.Profile()
-    profile.runcall(choose, state)
-    return sum(each.callcount for each in profile.getstats())
+    profile.runcall(choose, scenario)
+    return sum(entry.callcount for entry in profile.getstats())
 
 
-def test_a_choice_costs_no_more_than_its_engines():
-    """Callers wait while a router compares engines; it has half a core.
+def test_cost_of_a_choice_is_linear_in_engines():
+    """Guards against a choice whose cost grows quadratically.
 
-    Each engine looked for its source among all others, for each request:
-    among ten times as many engines a choice took a hundred times as long.
-    Counted are calls: times on a busy machine say as much of its caches.
+    Each engine searched all others for its source for each request: with
+    ten times as many engines a choice took a hundred times as long, while
+    callers waited for a router with half a core.  Calls are counted, as
+    times on a busy machine also depend on its caches.
     """
-    assert calls_of(1_100) <= MOST_GROWTH * calls_of(62)
+    assert count_calls(1_100) <= MAX_GROWTH * count_calls(62)
--- a/toucanrudder/forwarding/tests/test_retry_window.py
+++ b/toucanrudder/forwarding/tests/test_retry_window.py
@@ -1,4 +1,4 @@
-"""Retries of all routers together, and of one in a crash."""
+"""Retries of all routers together, and of one after a crash."""
 
 import bisect
 import random
@@ -10,17 +10,17 @@
 BOUNDS = retry_window.RetryBounds(0.2, 56.0, 10.0)
 
 
-def number(times, after_s, until_s):
+def count_between(times, after_s, until_s):
     return bisect.bisect_right(times, until_s) - bisect.bisect_right(
         times, after_s
     )
 
 
-def allowed(requests, until_s, bounds):
-    """Return the bound on a window that ends then, as it is stated."""
+def allowed_retries(requests, until_s, bounds):
+    """Return the stated bound on a window that ends then."""
     spans = (0.0, bounds.window_s / 2, bounds.window_s)
     return bounds.slack + bounds.ratio * max(
-        number(requests, until_s - bounds.window_s - s, until_s - s)
+        count_between(requests, until_s - bounds.window_s - s, until_s - s)
         for s in spans
     )
 
@@ -28,9 +28,8 @@
 @pytest.mark.parametrize("routers", [1, 8, 80])
 @pytest.mark.parametrize("seed", range(4))
 def test_all_routers_together_stay_within_the_retry_bound(routers, seed):
-    # Traffic comes in waves and unevenly over routers, and at each moment
-    # engines fail as many requests as routers would retry.  In no window
-    # are more sent again than the bound allows.
+    # Traffic comes in bursts and unevenly over routers, and engines fail as
+    # many requests as routers would retry.
     rng = random.Random(seed)
     windows = [retry_window.RetryWindow(BOUNDS) for _ in range(routers)]
     requests, retries, rate = [], [], 0
@@ -44,8 +43,8 @@
             if step // 100 % 2 and window.spend(now_s, routers):
                 retries.append(now_s)
     for until_s in retries:
-        sent_again = number(retries, until_s - BOUNDS.window_s, until_s)
-        assert sent_again <= allowed(requests, until_s, BOUNDS)
+        sent_again = count_between(retries, until_s - BOUNDS.window_s, until_s)
+        assert sent_again <= allowed_retries(requests, until_s, BOUNDS)
 
 
 def after_steady_traffic(routers, per_router_s=10):
@@ -56,10 +55,10 @@
     return window
 
 
-def test_a_crash_under_many_requests_is_survived():
-    # An engine breaks off under fifteen requests of this router at once.
-    # With a bucket of a few retries twelve of the callers would be told
-    # that their requests are lost, though nothing was sent again before.
+def test_a_crash_of_many_requests_leaves_enough_retries():
+    # An engine crashes during fifteen requests of this router.  With a token
+    # bucket of a few retries, twelve of them would be lost although there
+    # were no retries before.
     window = after_steady_traffic(routers=8)
     granted = [window.spend(20.0, routers=8) for _ in range(40)]
     assert 15 <= granted.count(True) <= 0.2 * 100 + 56 / 8
@@ -68,9 +67,9 @@
 
 
 def test_each_router_of_a_large_fleet_can_retry():
-    # 82 routers share a bound of some 200 retries; each sees six requests
-    # a second.  If none of them ever had a whole retry, each request that
-    # an engine refuses would be lost.
+    # 82 routers share a bound of about 200 retries, and each gets six
+    # requests per second.  If a router's share stayed below one retry, each
+    # request that an engine refuses would be lost.
     window = retry_window.RetryWindow(
         retry_window.RetryBounds(0.2, 204.0, 10.0)
     )
@@ -79,9 +78,9 @@
     assert window.spend(10.0, routers=82)
 
 
-def test_a_fresh_router_uses_half_of_its_slack():
-    # All routers are killed and start again: those before them may have
-    # used their share in the same window.
+def test_a_started_router_uses_half_of_its_slack():
+    # After a restart of all routers, their predecessors may have used their
+    # shares in the same window.
     window = retry_window.RetryWindow(BOUNDS)
     window.record_request(5.0)
     granted = [window.spend(5.0, routers=2) for _ in range(30)]
--- a/toucanrudder/forwarding/turns.py
+++ b/toucanrudder/forwarding/turns.py
@@ -182,13 +182,13 @@
 
 
 def start_delay_s(
-    place: int, step_s: float, overdue_s: float, stale_list_s: float
+    rank: int, step_s: float, overdue_s: float, stale_list_s: float
 ) -> float:
     """Return the seconds that a router waits before it begins a turn.
 
     Parameters
     ----------
-    place : int
+    rank : int
         Number of routers before it.
     step_s : float
         Delay for each of them.
@@ -204,6 +204,4 @@
     >>> start_delay_s(2, 1.0, 0.5, 3.0), start_delay_s(0, 1.0, 60.0, 3.0)
     (2.0, 3.0)
     """
-    return place * step_s + (
-        stale_list_s if overdue_s > MAX_OVERDUE_S else 0.0
-    )
+    return rank * step_s + (stale_list_s if overdue_s > MAX_OVERDUE_S else 0.0)
