--- a/toucanrudder/platform/__init__.py
+++ b/toucanrudder/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' prepared machines: names, formats and calls, no decisions."""
+"""Adapter to one outside platform: its names, formats and calls."""
--- a/toucanrudder/platform/__main__.py
+++ b/toucanrudder/platform/__main__.py
@@ -5,26 +5,26 @@
 
 from toucanrudder import imports
 
-#: Variable that holds the path of the settings file.
+#: Environment variable with the path of the settings file.
 SETTINGS_PATH = "TOUCANRUDDER_BOOT"
 
 
 def main() -> None:
-    """Serve until a signal has led to a planned stop."""
-    # A hang-up that meets a process which is still starting would end it:
-    # callers lose a router for as long as it takes to start another.  The
-    # imports below take nearly all of the start, so this comes first.
+    """Serve until a signal stops the router."""
+    # A SIGHUP during startup would end the process, and callers would lose
+    # a router until another has started.  The imports below take nearly
+    # all of the startup time, so the signal is ignored before them.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # libuv would open a ring otherwise; it reads this at the first loop.
+    # Keeps libuv from opening an io_uring; it reads this at the first loop.
     os.environ["UV_USE_IO_URING"] = "0"
     with imports.for_good():
         from toucanrudder.forwarding import daemon
-        from toucanrudder.platform import place
+        from toucanrudder.platform import assembly
         from toucanrudder.settings import forwarding
         from toucanrudder.settings import loading
 
     conf = loading.load(os.environ[SETTINGS_PATH], forwarding.GROUPS)
-    daemon.run(conf, place.platform(conf))
+    daemon.run(conf, assembly.build_platform(conf))
 
 
 if __name__ == "__main__":
--- a/toucanrudder/platform/place.py
+++ b/toucanrudder/platform/assembly.py
@@ -1,4 +1,4 @@
-"""The parts of this folder, put together for a forwarding router."""
+"""Assembly of this package's adapters for a forwarding router."""
 
 from oslo_config import cfg
 
@@ -10,8 +10,8 @@
 from toucanrudder.platform import store
 
 
-def platform(conf: cfg.ConfigOpts) -> daemon.Platform:
-    """Return what a router needs to run on this platform."""
+def build_platform(conf: cfg.ConfigOpts) -> daemon.Platform:
+    """Return the adapters that a router needs on this platform."""
     return daemon.Platform(
         dialect=dialect.PlatformDialect(),
         store=store.PlatformStore(conf.store.address),
@@ -19,11 +19,11 @@
             configuration=objects.CONFIGURATION_KIND,
             upstreams=objects.UPSTREAM_KIND,
             weights=objects.WEIGHTS_KIND,
-            read_document=objects.document,
-            read_upstream=objects.upstream,
-            read_weights=objects.named_weights,
+            read_document=objects.read_document,
+            read_upstream=objects.read_upstream,
+            read_weights=objects.read_target_weights,
         ),
-        encode=objects.encode,
-        decode=objects.decode,
+        encode=objects.encode_document,
+        decode=objects.decode_document,
         engine_calls=orders.EngineCalls,
     )
--- a/toucanrudder/platform/dialect.py
+++ b/toucanrudder/platform/dialect.py
@@ -1,4 +1,4 @@
-"""What callers and upstreams say on this platform, in heads of HTTP."""
+"""HTTP headers of this platform, for requests and upstreams' answers."""
 
 import re
 
@@ -12,24 +12,24 @@
 
 STEP = "read"
 
-#: Fields that only the router may set; a caller's are dropped.
-_OURS = frozenset(
+#: Headers that only the router may set; those of callers are dropped.
+_ROUTER_HEADERS = frozenset(
     b"authorization tenant deadline-ms expect-instance expect-version"
     b" request-priority cache-salt kv-fetch-from kv-save-to kv-from kv-hold"
     b" kv-backup pin-ms last-event-id content-length instance-id"
     b" not-executed server-seal server-load".split()
 )
 
-#: Lowest rank that upstreams know; 0 is the first.
-_LAST_PRIORITY = 9
+#: Least urgent priority that upstreams accept; 0 is the most urgent.
+_LOWEST_PRIORITY = 9
 
-#: Any other status contradicts an upstream's statement of not having run.
+#: Statuses with which Not-Executed is believed; others contradict it.
 _NOT_RUN_STATUSES = frozenset({400, 421, 429, 503})
 
 _EVENT_ID = re.compile(rb"^id:[ ]?([^\r\n]*)", re.MULTILINE)
 
 
-def _bad(name: str) -> errors.RudderError:
+def _bad_header(name: str) -> errors.RudderError:
     return errors.RudderError(
         errors.Code.BAD_HEADER, f"{name} cannot be read", step=STEP
     )
@@ -40,53 +40,53 @@
     return None if value is None else value.decode("latin-1").strip()
 
 
-def _number(head, name: bytes) -> int | None:
+def _integer(head, name: bytes) -> int | None:
     text = _text(head, name)
     if text is None:
         return None
     try:
         return int(float(text))
     except (ValueError, OverflowError):
-        raise _bad(name.decode()) from None
+        raise _bad_header(name.decode()) from None
 
 
-def _prompt(head: message.RequestHead) -> model.Prompt | None:
+def _parse_prompt(head: message.RequestHead) -> model.Prompt | None:
     name = _text(head, b"model")
     if name is None:
         return None
     try:
-        told = _text(head, b"token-counts")
-        counts = [int(each) for each in (told or "0,0").split(",")]
+        text = _text(head, b"token-counts")
+        counts = [int(count) for count in (text or "0,0").split(",")]
         parts = tuple(
             model.Part(identity.strip(), int(tokens))
             for identity, _, tokens in (
-                each.partition(":")
-                for each in (_text(head, b"prompt-prefix") or "").split(",")
-                if each.strip()
+                part.partition(":")
+                for part in (_text(head, b"prompt-prefix") or "").split(",")
+                if part.strip()
             )
         )
-        tokens_out = sum(counts[1:2])
-        return model.Prompt(name, parts, counts[0], tokens_out, bool(told))
+        output_tokens = sum(counts[1:2])
+        return model.Prompt(name, parts, counts[0], output_tokens, bool(text))
     except ValueError:
-        raise _bad("the prompt's description") from None
+        raise _bad_header("the prompt's description") from None
 
 
 class PlatformDialect(dialect.Dialect):
-    """Heads as this platform's callers and upstreams write them."""
+    """Translation of this platform's HTTP headers to and from the model."""
 
     def read_call(self, head: message.RequestHead) -> model.Call:
-        """Read a caller's request."""
+        """Parse the head of a caller's request."""
         path = head.target.partition(b"?")[0].decode("latin-1")
         host = (_text(head, b"host") or "").lower().partition(":")[0]
         scheme, _, key = (_text(head, b"authorization") or "").partition(" ")
-        wait_ms = _number(head, b"deadline-ms")
+        wait_ms = _integer(head, b"deadline-ms")
         return model.Call(
             request_id=_text(head, b"request-id") or "",
             host=host,
             path=path,
             api_key=key.strip() if scheme.lower() == "bearer" else None,
             wait_s=None if wait_ms is None else wait_ms / 1000,
-            prompt=_prompt(head),
+            prompt=_parse_prompt(head),
             resume_after=_text(head, b"last-event-id"),
         )
 
@@ -101,29 +101,29 @@
         organisation = matched.organisation
         is_prompt = matched.call.prompt is not None
         has_body = body or head.get(b"content-length") or _is_chunked(head)
-        copy = f"{instructions.continue_at}/{matched.call.request_id}"
-        set_here = {
+        copy_source = f"{instructions.continue_at}/{matched.call.request_id}"
+        router_headers = {
             "Deadline-Ms": max(1, int(instructions.remaining_s * 1000)),
             "Expect-Instance": instructions.upstream.name,
-            "Request-Priority": min(matched.rank, _LAST_PRIORITY),
+            "Request-Priority": min(matched.rank, _LOWEST_PRIORITY),
             "Content-Length": len(body) if has_body else None,
             "Tenant": organisation.name if organisation else None,
             "Last-Event-Id": instructions.resume_after,
-            # Callers cannot set it, so it need not be a secret.
+            # Callers cannot set this header, so its value need not be secret.
             "Cache-Salt": instructions.salt if is_prompt else None,
             "Expect-Version": instructions.weights_version,
             "Kv-Fetch-From": instructions.fetch_from or None,
             "Kv-Backup": instructions.copy_to or None,
-            "Kv-From": copy if instructions.continue_at else None,
+            "Kv-From": copy_source if instructions.continue_at else None,
             "Kv-Save-To": instructions.save_to or None,
         }
         return message.RequestHead(
             head.method,
             head.target,
-            message.end_to_end(head.headers, _OURS)
+            message.end_to_end(head.headers, _ROUTER_HEADERS)
             + tuple(
                 (name.encode(), str(value).encode("latin-1"))
-                for name, value in set_here.items()
+                for name, value in router_headers.items()
                 if value is not None
             ),
         )
@@ -134,22 +134,22 @@
         upstream: model.Upstream,
         answer: message.AnswerHead,
     ) -> dialect.AnswerFacts:
-        """Read the head of an upstream's answer."""
-        answers = _text(answer, b"request-id") or None
+        """Parse the head of an upstream's answer."""
+        answered_id = _text(answer, b"request-id") or None
         version = _text(answer, b"weight-versions")
-        not_run = answer.status in _NOT_RUN_STATUSES and (
+        has_not_run = answer.status in _NOT_RUN_STATUSES and (
             answer.get(b"not-executed") is not None
         )
-        is_same = _text(answer, b"instance-id") == upstream.name
+        is_expected = _text(answer, b"instance-id") == upstream.name
         return dialect.AnswerFacts(
-            is_for_request=answers == call.request_id,
-            names_no_request=answers is None,
-            has_not_run=not_run,
-            # One status says both; the identity tells them apart.
-            is_other_process=answer.status == 421 and not is_same,
-            has_other_weights=answer.status == 421 and is_same,
+            is_for_request=answered_id == call.request_id,
+            names_no_request=answered_id is None,
+            has_not_run=has_not_run,
+            # Both have status 421; Instance-Id tells them apart.
+            is_other_process=answer.status == 421 and not is_expected,
+            has_other_weights=answer.status == 421 and is_expected,
             is_sealed=answer.get(b"server-seal") is not None,
-            load=_load(_text(answer, b"server-load")),
+            load=_parse_load(_text(answer, b"server-load")),
             weights_version=int(version)
             if version and version.isascii() and version.isdecimal()
             else None,
@@ -158,7 +158,7 @@
     def error_answer(
         self, error: errors.RudderError, request_id: str
     ) -> tuple[message.Headers, bytes]:
-        """Return fields and body of a refusal."""
+        """Return headers and body of an error answer."""
         headers = [(b"Content-Type", b"application/json")]
         if request_id:
             headers.append((b"Request-Id", request_id.encode("latin-1")))
@@ -168,20 +168,20 @@
         return tuple(headers), orjson.dumps(error.as_body(request_id))
 
     def event_id(self, event: bytes) -> str | None:
-        """Return the identity of one whole event of a stream."""
-        found = _EVENT_ID.search(event)
-        return found[1].decode("latin-1").strip() if found else None
+        """Return the ID of one complete event of a stream, if it has one."""
+        match = _EVENT_ID.search(event)
+        return match[1].decode("latin-1").strip() if match else None
 
 
 def _is_chunked(head: message.RequestHead) -> bool:
     return head.get(b"transfer-encoding") is not None
 
 
-def _load(text: str | None) -> model.Load | None:
+def _parse_load(text: str | None) -> model.Load | None:
     if text is None:
         return None
     try:
-        running, waiting, slots = (int(each) for each in text.split(","))
+        running, waiting, slots = (int(count) for count in text.split(","))
     except ValueError:
         return None
     return model.Load(running, waiting, slots)
--- a/toucanrudder/platform/objects.py
+++ b/toucanrudder/platform/objects.py
@@ -1,4 +1,4 @@
-"""The platform's own objects, translated into the project's types."""
+"""Translation of the platform's objects into the router's types."""
 
 from collections.abc import Iterable
 
@@ -9,7 +9,7 @@
 from toucanrudder.store import interface
 from toucanrudder.store import typed
 
-#: Kinds that the platform writes, and the one name of its configuration.
+#: Kinds of objects in the store; the configuration has only one object.
 CONFIGURATION_KIND = "config"
 CONFIGURATION_NAME = "main"
 UPSTREAM_KIND = "servers"
@@ -21,77 +21,77 @@
 }
 
 
-def decode(source: bytes) -> model.Document:
-    """Return the document in another router's bytes.
+def decode_document(source: bytes) -> model.Document:
+    """Parse a configuration document that a peer sent.
 
     Raises
     ------
     MalformedObject
-        They hold none.
+        The bytes hold no valid configuration.
     """
     try:
         value = orjson.loads(source)
     except ValueError as error:
-        raise interface.MalformedObject("peer", "unreadable bytes") from error
-    return model.Document(configuration(value, "peer"), source)
+        raise interface.MalformedObject("peer", "invalid JSON") from error
+    return model.Document(read_configuration(value, "peer"), source)
 
 
-def encode(document: model.Document) -> bytes:
-    """Return the document's bytes, for another router."""
+def encode_document(document: model.Document) -> bytes:
+    """Return the document as bytes to send to a peer."""
     return document.source
 
 
-def document(stored: interface.StoredObject) -> model.Document | None:
-    """Return the document in a stored object; None if it is another.
+def read_document(stored: interface.StoredObject) -> model.Document | None:
+    """Parse a stored configuration; return None for any other object.
 
     Raises
     ------
     MalformedObject
-        The object holds no configuration.
+        The object holds no valid configuration.
     """
     if stored.name != CONFIGURATION_NAME:
         return None
     return model.Document(
-        configuration(stored.value, _source(stored)),
+        read_configuration(stored.value, _object_path(stored)),
         orjson.dumps(stored.value),
     )
 
 
-def _source(stored: interface.StoredObject) -> str:
+def _object_path(stored: interface.StoredObject) -> str:
     return f"{stored.kind}/{stored.name}"
 
 
-def configuration(value: object, source: str) -> model.Configuration:
-    """Translate a configuration.
+def read_configuration(value: object, source: str) -> model.Configuration:
+    """Parse a configuration.
 
     Raises
     ------
     MalformedObject
-        The value holds none.
+        The value is no valid configuration.
     """
-    found = typed.read(records.Configuration, value, source)
-    services = found.services or ()
+    record = typed.read(records.Configuration, value, source)
+    services = record.services or ()
     return model.Configuration(
-        generation=found.version,
-        routes=tuple(map(_route, found.routes or ())),
+        generation=record.version,
+        routes=tuple(map(_translate_route, record.routes or ())),
         services={
-            each.name: model.Service(each.name, each.engine)
-            for each in services
-            if each.kv_store_addr is None
+            service.name: model.Service(service.name, service.engine)
+            for service in services
+            if service.kv_store_addr is None
         },
         cache_stores=tuple(
             model.CacheStore(
-                each.kv_store_addr, each.zone or "", each.link_bits_per_s
+                store.kv_store_addr, store.zone or "", store.link_bits_per_s
             )
-            for each in services
-            if each.kv_store_addr is not None
+            for store in services
+            if store.kv_store_addr is not None
         ),
-        organisations=found.tenants or (),
-        limits=found.limits or model.CallerLimits(),
+        organisations=record.tenants or (),
+        limits=record.limits or model.CallerLimits(),
     )
 
 
-def _route(spec: records.Route) -> model.Route:
+def _translate_route(spec: records.Route) -> model.Route:
     is_stream = spec.kind == "stream"
     repetition = _REPETITIONS.get(spec.kind, model.Repetition.ONCE)
     if is_stream and spec.resumable:
@@ -115,15 +115,15 @@
     )
 
 
-def upstream(stored: interface.StoredObject) -> model.Upstream:
-    """Translate the entry by which an upstream registers itself.
+def read_upstream(stored: interface.StoredObject) -> model.Upstream:
+    """Parse the registry entry of an upstream.
 
     Raises
     ------
     MalformedObject
-        The entry names no upstream to use.
+        The entry is invalid.
     """
-    entry = typed.read(records.Entry, stored.value, _source(stored))
+    entry = typed.read(records.Entry, stored.value, _object_path(stored))
     return model.Upstream(
         incarnation=_incarnation(stored.name, entry.born),
         name=stored.name,
@@ -133,33 +133,33 @@
         zone=entry.zone,
         slots=entry.slots,
         is_leaving=entry.state == "draining",
-        # "version" is that of the upstream's software; the weights' stand
-        # with the models.
-        weights=weights_of(entry.models),
+        # "version" in an entry is that of the upstream's software; the
+        # versions of the weights are in "models".
+        weights=weights_by_model(entry.models),
     )
 
 
 def _incarnation(name: str, born_ms: int) -> str:
-    """Return the identity of one start of an upstream.
+    """Return an identity that differs for each start of an upstream.
 
-    A process that starts again keeps its name and remembers nothing: what
-    was believed of the one before must not be found under the new one's.
+    A restarted process keeps its name but loses its cache and runs, so
+    state recorded for the previous start must not apply to it.
     """
     return f"{name}@{born_ms}" if born_ms else name
 
 
-def weights_of(models: Iterable[records.LoadedModel]) -> dict[str, int]:
-    """Return the versions of the weights by model."""
-    return {each.name: each.version for each in models}
+def weights_by_model(models: Iterable[records.LoadedModel]) -> dict[str, int]:
+    """Map each model to the version of its weights."""
+    return {loaded.name: loaded.version for loaded in models}
 
 
-def named_weights(stored: interface.StoredObject) -> tuple[str, int]:
-    """Return the model and the version that its weights are to have.
+def read_target_weights(stored: interface.StoredObject) -> tuple[str, int]:
+    """Parse the target version of a model's weights.
 
     Raises
     ------
     MalformedObject
-        The object names none.
+        The object names no model and version.
     """
-    found = typed.read(records.Weights, stored.value, _source(stored))
-    return found.model, found.version
+    target = typed.read(records.Weights, stored.value, _object_path(stored))
+    return target.model, target.version
--- a/toucanrudder/platform/orders.py
+++ b/toucanrudder/platform/orders.py
@@ -1,4 +1,4 @@
-"""Calls to engines that are not requests of callers."""
+"""The router's own calls to engines: reports, load orders, cache events."""
 
 import functools
 import logging
@@ -20,24 +20,24 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Beyond the time that a question about the cache was asked to wait:
-#: events are told late when an engine is busy.
+#: Added to the wait time of a call for cache events to get its timeout:
+#: a busy engine sends events late.
 EVENTS_MARGIN_S = 1.0
 
-#: A new connection crosses one zone border at most; on a lossy link its
-#: first packet is sent again after a second.
-CONNECT_S = 1.2
+#: A new connection crosses at most one zone boundary; on a lossy link its
+#: first packet is retransmitted after a second.
+CONNECT_TIMEOUT_S = 1.2
 
 _MODES = {rollout.Mode.WAIT: "block", rollout.Mode.KEEP: "retain"}
 
 
 class EngineCalls(loading.OrderDialect, cache_feed.CacheDialect):
-    """Calls to engines on their own address.
+    """Client of the engines' own interface.
 
     Parameters
     ----------
     connections : pool.ConnectionPool
-        Shared with requests.
+        Shared with requests of callers.
     clock : callable
         Monotonic time in seconds.
     """
@@ -49,22 +49,22 @@
     async def report(
         self, upstream: model.Upstream, *, timeout_s: float
     ) -> rollout.EngineReport | None:
-        """Return the engine's report; None if it gave none."""
-        found = await self._call(b"GET", "/report", upstream, timeout_s)
-        body = _read(records.Report, found, upstream)
+        """Return the engine's report; None if the call failed."""
+        answer = await self._call(b"GET", "/report", upstream, timeout_s)
+        body = _read(records.Report, answer, upstream)
         if body is None:
             return None
         return rollout.EngineReport(
             born_ms=body.born,
-            weights=objects.weights_of(body.models),
+            weights=objects.weights_by_model(body.models),
             is_busy=body.busy,
-            # "seq" counts accepted orders here; in an upstream's entry it
-            # counts its signs of life.
+            # "seq" counts accepted orders here, but heartbeats in an
+            # upstream's registry entry.
             orders=body.seq,
             running=body.active,
             reading=sum(not events for _, _, events, _ in body.runs),
             waiting=body.queued,
-            events={request_id: made for request_id, _, made, _ in body.runs},
+            events={run_id: count for run_id, _, count, _ in body.runs},
             memory_share=body.kv_used / (body.kv_total or 1),
         )
 
@@ -78,7 +78,7 @@
         fencing: int,
         timeout_s: float,
     ) -> bool:
-        """Order new weights; say whether the engine took the order."""
+        """Order new weights; return whether the engine accepted the order."""
         body = {
             "op": "version",
             "model": task.model,
@@ -88,14 +88,14 @@
             "fence": fencing,
             "expected": report.orders,
         }
-        found = await self._call(
+        answer = await self._call(
             b"POST", "/order", task.upstream, timeout_s, body=body
         )
-        status = found.status if found else None
+        status = answer.status if answer else None
         if status == 412:
             raise errors.RudderError(
                 errors.Code.ORDER_FENCED,
-                "another holder has given orders",
+                "the engine has seen a higher fencing number",
                 step=loading.STEP,
                 peer=task.upstream.incarnation,
             )
@@ -104,13 +104,13 @@
     async def cache_events(
         self, source: cache_feed.CacheSource, since: int, *, wait_s: float
     ) -> cache_feed.CacheUpdate | None:
-        """Return events after `since`; None if there was no answer."""
+        """Return events after `since`; None if the call failed."""
         path = f"/kv-events?since={since}"
         wait = (b"Wait-Ms", str(round(wait_s * 1000)).encode())
-        found = await self._call(
+        answer = await self._call(
             b"GET", path, source, wait_s + EVENTS_MARGIN_S, wait
         )
-        body = _read(records.CacheNews, found, source)
+        body = _read(records.CacheNews, answer, source)
         if body is None:
             return None
         return cache_feed.CacheUpdate(
@@ -139,9 +139,9 @@
                 method,
                 path,
                 body=body,
-                headers=(*extra, *_expected(peer)),
+                headers=(*extra, *_expected_instance(peer)),
                 timeout_s=timeout_s,
-                connect_timeout_s=CONNECT_S,
+                connect_timeout_s=CONNECT_TIMEOUT_S,
                 clock=self._clock,
                 foreign=b"request-id",
             )
@@ -151,23 +151,23 @@
 
 
 def _read(
-    made: type[typed.Made],
+    record_type: type[typed.Made],
     answer: calls.Answer | None,
     source: cache_feed.CacheSource,
 ) -> typed.Made | None:
     if answer is None or answer.status != 200:
         return None
     return strange.decode_or_none(
-        typed.read, made, answer.body, source.address
+        typed.read, record_type, answer.body, source.address
     )
 
 
 @functools.singledispatch
-def _expected(peer: cache_feed.CacheSource) -> message.Headers:
-    """Return the field that keeps a call from another process there."""
+def _expected_instance(peer: cache_feed.CacheSource) -> message.Headers:
+    """Return the header that makes any other process refuse the call."""
     return ()
 
 
-@_expected.register
+@_expected_instance.register
 def _(peer: model.Upstream) -> message.Headers:
     return ((b"Expect-Instance", peer.name.encode()),)
--- a/toucanrudder/platform/records.py
+++ b/toucanrudder/platform/records.py
@@ -1,4 +1,4 @@
-"""The platform's objects as it writes them, field by field."""
+"""The platform's objects, with the field names that it uses."""
 
 import typing
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class Metadata:
-    """What the store says of an object."""
+    """Name and revision of an object in the store."""
 
     name: str = attrs.field(validator=attrs.validators.min_len(1))
     revision: int
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class Item:
-    """An object of the store; what it holds is read by its kind."""
+    """An object of the store; its kind determines how `spec` is parsed."""
 
     metadata: Metadata
     spec: typing.Any = None
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class Weights:
-    """Weights of a model: named for all, or present at one upstream."""
+    """Target version of a model's weights, for all upstreams."""
 
     model: str = attrs.field(validator=typed.HEADER_VALUE)
     version: int = attrs.field(validator=typed.POSITIVE)
@@ -59,7 +59,7 @@
 
 @attrs.frozen
 class LoadedModel:
-    """A model, and its weights, as one upstream has them."""
+    """A model that an upstream has loaded, and its weights' version."""
 
     name: str = attrs.field(validator=typed.HEADER_VALUE)
     version: int = attrs.field(validator=typed.POSITIVE)
@@ -67,27 +67,27 @@
 
 @attrs.frozen
 class Entry:
-    """What an upstream writes of itself into the registry."""
+    """The registry entry that an upstream writes for itself."""
 
     service: str = attrs.field(validator=typed.HEADER_VALUE)
     address: str = attrs.field(validator=typed.ADDRESS)
     state: str = attrs.field(
         validator=attrs.validators.in_(("ready", "draining"))
     )
-    #: Unix millisecond of its start; 0 where it does not say.
+    #: Unix time of its start in milliseconds; 0 if unknown.
     born: int = attrs.field(default=0, validator=typed.NOT_NEGATIVE)
     zone: str = ""
     slots: int = attrs.field(default=1, validator=typed.COUNT)
     models: tuple[LoadedModel, ...] = ()
 
 
-#: A run: identity, tokens in memory, events made, priority.
+#: A run: request ID, tokens in the KV cache, events produced, priority.
 Run = tuple[str, int, int, int]
 
 
 @attrs.frozen
 class Report:
-    """What an engine says of its load and its runs."""
+    """An engine's report of its load and its runs."""
 
     models: tuple[LoadedModel, ...]
     born: int = attrs.field(default=0, validator=typed.NOT_NEGATIVE)
@@ -102,7 +102,7 @@
 
 @attrs.frozen
 class CacheNews:
-    """What an engine or a store tells of its cache."""
+    """Cache events of an engine or of a store of cached parts."""
 
     boot_epoch: int
     next: int = attrs.field(validator=typed.NOT_NEGATIVE)
@@ -115,7 +115,7 @@
 _MS = 0.001
 _MBPS = 1e6
 
-# Of these, only names and units differ from ours.
+# These records differ from the router's types only in names and units.
 typed.set_wire_fields(
     model.Engine,
     cache_tokens=typed.wire_field("kv_capacity_tokens"),
@@ -136,7 +136,7 @@
 
 @attrs.frozen
 class Service:
-    """A service; with an address it is a store of cached parts."""
+    """A service; a store of cached parts if `kv_store_addr` is set."""
 
     name: str
     engine: model.Engine | None = None
@@ -154,7 +154,7 @@
 
 @attrs.frozen
 class Route:
-    """A route; its repetition follows from two fields."""
+    """A route; `kind` and `resumable` determine how it may be repeated."""
 
     name: str
     host: str
--- a/toucanrudder/platform/tests/test_platform.py
+++ b/toucanrudder/platform/tests/test_platform.py
@@ -16,7 +16,7 @@
 from toucanrudder.http1 import client
 from toucanrudder.http1 import message
 from toucanrudder.leases import decision
-from toucanrudder.platform import place
+from toucanrudder.platform import assembly
 from toucanrudder.platform.testing import standins
 from toucanrudder.settings import forwarding
 from toucanrudder.settings import loading
@@ -149,7 +149,7 @@
 
     async def router(self, name="r1", seeds="", *, ready=True):
         conf = self.settings(name, seeds)
-        found = daemon.Router(conf, place.platform(conf))
+        found = daemon.Router(conf, assembly.build_platform(conf))
         await self.stack.enter_async_context(found.serving())
         if ready:
             await until(lambda: found.state.is_ready)
--- a/toucanrudder/platform/tests/test_records.py
+++ b/toucanrudder/platform/tests/test_records.py
@@ -90,15 +90,15 @@
 
 
 def read_upstream(value):
-    return objects.upstream(stored("servers", "i1", value))
+    return objects.read_upstream(stored("servers", "i1", value))
 
 
 def read_weights(value):
-    return objects.named_weights(stored("versions", "m", value))
+    return objects.read_target_weights(stored("versions", "m", value))
 
 
 def read_document(value):
-    return objects.document(stored("config", "main", value))
+    return objects.read_document(stored("config", "main", value))
 
 
 def read_report(value):
@@ -191,7 +191,7 @@
 def test_a_strange_object_is_logged_once(caplog):
     for _ in range(3):
         entry = stored("servers", "once", ENTRY | {"slots": "many"})
-        assert strange.decode_or_none(objects.upstream, entry) is None
+        assert strange.decode_or_none(objects.read_upstream, entry) is None
     found = [each for each in caplog.records if each.name == strange.__name__]
     assert len(found) == 1
 
@@ -294,4 +294,4 @@
 def test_a_peers_unreadable_document_is_refused():
     for content in (b"", b"\xff", b"[]", b'{"version": "7"}'):
         with pytest.raises(interface.MalformedObject):
-            objects.decode(content)
+            objects.decode_document(content)
