--- a/toucanrudder/controllers/__init__.py
+++ b/toucanrudder/controllers/__init__.py
@@ -1,1 +1,1 @@
-"""Tasks that keep the state which filters decide on."""
+"""Background tasks that maintain the state which filters read."""
--- a/toucanrudder/controllers/backoff.py
+++ b/toucanrudder/controllers/backoff.py
@@ -1,28 +1,28 @@
-"""Delays between tries of one task."""
+"""Exponential backoff with jitter."""
 
 import random
 
-FIRST_S = 0.2
-LONGEST_S = 2.0
+BASE_DELAY_S = 0.2
+MAX_DELAY_S = 2.0
 
 
 def delay_s(failures: int, rng: random.Random) -> float:
-    """Return the pause after so many failures in a row, with jitter.
+    """Return the delay before the next try, with jitter.
 
-    Routers restart in herds and lose the store together; equal pauses
-    would bring them back in one instant and over its rates.
+    Many routers restart, or lose the store, at the same time; equal delays
+    would make all of them call it at once and exceed its rate limits.
 
     Parameters
     ----------
     failures : int
-        Failures in a row, 1 or more.
+        Consecutive failures, 1 or more.
     rng : random.Random
         Source of the jitter.
 
     Returns
     -------
     float
-        Seconds, at most `LONGEST_S`.
+        Seconds, at most `MAX_DELAY_S`.
     """
-    longest = min(LONGEST_S, FIRST_S * 2 ** min(failures - 1, 10))
-    return rng.uniform(longest / 2, longest)
+    max_delay_s = min(MAX_DELAY_S, BASE_DELAY_S * 2 ** min(failures - 1, 10))
+    return rng.uniform(max_delay_s / 2, max_delay_s)
--- a/toucanrudder/controllers/cache_events.py
+++ b/toucanrudder/controllers/cache_events.py
@@ -1,4 +1,4 @@
-"""Follows the cache events of all engines."""
+"""Reads the cache event streams of all engines."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,24 +17,25 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Engines send a heartbeat each second: longer silence is a dead path.
-SILENT_S = 5.0
-RECONNECT_S = (0.2, 1.0)
-CHECK_S = 0.5
+#: Engines send a heartbeat each second; after this silence the connection
+#: counts as broken.
+READ_TIMEOUT_S = 5.0
+RECONNECT_DELAY_S = (0.2, 1.0)
+UPDATE_INTERVAL_S = 0.5
 MAX_LINE_BYTES = 1_048_576
 
 
 @attrs.define
 class _Position:
-    """The last line read of an engine's event stream."""
+    """Position after the last event read of an engine's stream."""
 
     incarnation: str = ""
     sequence: int = 0
 
     def advance(self, incarnation: str, sequence: int) -> None:
-        # A restarted engine counts from one again.  Asked for the lines
-        # after the old process's last number it would stay silent until
-        # its own numbers are as high, and its cache would not be used.
+        # A restarted engine numbers its events from one again.  Asked for
+        # events after the old process's last number, it would send none
+        # until its own numbers are as high, and its cache would be unused.
         if self.incarnation not in ("", incarnation):
             self.incarnation, self.sequence = "", 0
             raise ValueError("the engine has restarted")
@@ -42,18 +43,18 @@
 
 
 class CacheEventController:
-    """Feeds beliefs from the engines' event streams, one task each.
+    """Updates the prefix cache index, with one task per engine.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        For the streams.
-    believed : cache_index.PrefixCacheIndex
-        Takes the events.
+        Session for the streams.
+    index : cache_index.PrefixCacheIndex
+        Index that the events update.
     upstreams : callable
         Returns the configured upstreams.
     rng : random.Random
-        For jitter.
+        Source of jitter.
     clock : callable
         Monotonic time.
     """
@@ -61,66 +62,62 @@
     def __init__(
         self,
         session: aiohttp.ClientSession,
-        believed: cache_index.PrefixCacheIndex,
+        index: cache_index.PrefixCacheIndex,
         upstreams: Callable[[], tuple[model.Upstream, ...]],
         rng: random.Random,
         clock: Callable[[], float],
     ):
         self._session = session
-        self._beliefs = believed
+        self._index = index
         self._upstreams = upstreams
         self._rng = rng
         self._clock = clock
-        self._following: dict[tuple[str, str], asyncio.Task] = {}
+        self._tasks: dict[tuple[str, str], asyncio.Task] = {}
 
     async def run(self) -> None:
-        """Follow the configured engines for ever."""
-        # Tasks of an earlier run have all ended with its group.  Left in
-        # the table they would count as following, and no engine's events
-        # would be read again.
-        self._following.clear()
+        """Read the streams of the configured engines until cancelled."""
+        # Tasks of an earlier run have all ended with its group.  If they
+        # stayed in the table, no stream would be opened again.
+        self._tasks.clear()
         async with asyncio.TaskGroup() as group:
             while True:
-                self._adjust(group)
-                await asyncio.sleep(CHECK_S)
+                self._update_tasks(group)
+                await asyncio.sleep(UPDATE_INTERVAL_S)
 
-    def _adjust(self, group: asyncio.TaskGroup) -> None:
-        wanted = {
+    def _update_tasks(self, group: asyncio.TaskGroup) -> None:
+        engines = {
             (each.name, each.address): each
             for each in self._upstreams()
             if each.kind == model.ENGINE
         }
-        for key in self._following.keys() - wanted.keys():
-            self._following.pop(key).cancel()
-        # A task that something else has cancelled ends no group.  Kept, it
-        # would count as following, and that engine's events be read no
-        # more.
-        for key, task in list(self._following.items()):
+        for key in self._tasks.keys() - engines.keys():
+            self._tasks.pop(key).cancel()
+        # A task that was cancelled from elsewhere does not end the group.
+        # If it stayed in the table, its stream would not be opened again.
+        for key, task in list(self._tasks.items()):
             if task.done():
-                del self._following[key]
-        for key, upstream in wanted.items():
-            if key not in self._following:
-                self._following[key] = group.create_task(
-                    self._follow(upstream)
-                )
+                del self._tasks[key]
+        for key, upstream in engines.items():
+            if key not in self._tasks:
+                self._tasks[key] = group.create_task(self._follow(upstream))
 
     async def _follow(self, upstream: model.Upstream) -> None:
         position = _Position()
         while True:
             try:
-                await self._read(upstream, position)
+                await self._read_stream(upstream, position)
             except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
                 metrics.counter(
                     "toucanrudder_event_streams_lost",
                     "Cache event streams that broke or fell silent",
                 ).add(1, {"upstream": upstream.name})
-            await asyncio.sleep(self._rng.uniform(*RECONNECT_S))
+            await asyncio.sleep(self._rng.uniform(*RECONNECT_DELAY_S))
 
-    async def _read(
+    async def _read_stream(
         self, upstream: model.Upstream, position: "_Position"
     ) -> None:
         timeout = aiohttp.ClientTimeout(
-            total=None, sock_connect=1.0, sock_read=SILENT_S
+            total=None, sock_connect=1.0, sock_read=READ_TIMEOUT_S
         )
         async with self._session.get(
             f"http://{upstream.address}/cache/events",
@@ -128,40 +125,42 @@
             timeout=timeout,
         ) as response:
             response.raise_for_status()
-            rest = b""
+            partial_line = b""
             async for chunk in response.content.iter_any():
-                *lines, rest = (rest + chunk).split(b"\n")
-                if len(rest) > MAX_LINE_BYTES:
-                    raise ValueError("event line too long")
+                *lines, partial_line = (partial_line + chunk).split(b"\n")
+                if len(partial_line) > MAX_LINE_BYTES:
+                    raise ValueError("cache event line is too long")
                 for line in lines:
-                    self._take(upstream.name, line, position)
+                    self._handle_line(upstream.name, line, position)
 
-    def _take(self, upstream: str, line: bytes, position: "_Position") -> None:
+    def _handle_line(
+        self, upstream: str, line: bytes, position: "_Position"
+    ) -> None:
         if not line.strip():
             return
-        with _reading():
+        with _malformed_as_value_error():
             event = json.loads(line)
             sequence = int(event["seq"])
             incarnation = str(event["incarnation"])
         position.advance(incarnation, sequence)
-        with _reading():
-            take = _TAKE.get(str(event["kind"]))
-            if take is None:
+        with _malformed_as_value_error():
+            handler = _HANDLERS.get(str(event["kind"]))
+            if handler is None:
                 return
             keys = tuple(
                 bytes.fromhex(each) for each in event.get("blocks", ())
             )
-        place = (upstream, incarnation, sequence)
-        take(self._beliefs, place, keys, self._clock())
+        source = (upstream, incarnation, sequence)
+        handler(self._index, source, keys, self._clock())
 
 
 @contextlib.contextmanager
-def _reading() -> Iterator[None]:
-    """Turn what an event of another shape raises into a ValueError.
+def _malformed_as_value_error() -> Iterator[None]:
+    """Raise a ValueError for an event with an unexpected structure.
 
-    Any other error would end the group of tasks, and with it the reading
-    of all engines' events.  Lookups, conversions and the decoder raise no
-    errors but these; a ValueError breaks this engine's stream alone.
+    Any other error would end the task group, and with it the streams of
+    all engines; a ValueError ends only this engine's stream.  Lookups,
+    conversions and the decoder raise no errors but those caught here.
     """
     try:
         yield
@@ -169,23 +168,23 @@
         raise ValueError(f"not a cache event: {error!r}") from error
 
 
-def _stored(believed, place, keys, now_s):
-    believed.stored(*place, keys, now_s)
+def _stored(index, source, keys, now_s):
+    index.stored(*source, keys, now_s)
 
 
-def _evicted(believed, place, keys, now_s):
-    believed.evicted(*place, keys, now_s)
+def _evicted(index, source, keys, now_s):
+    index.evicted(*source, keys, now_s)
 
 
-def _cleared(believed, place, keys, now_s):
-    believed.cleared(*place, now_s)
+def _cleared(index, source, keys, now_s):
+    index.cleared(*source, now_s)
 
 
-def _heartbeat(believed, place, keys, now_s):
-    believed.heartbeat(*place, now_s)
+def _heartbeat(index, source, keys, now_s):
+    index.heartbeat(*source, now_s)
 
 
-_TAKE = {
+_HANDLERS = {
     "stored": _stored,
     "evicted": _evicted,
     "cleared": _cleared,
--- a/toucanrudder/controllers/configuration.py
+++ b/toucanrudder/controllers/configuration.py
@@ -1,4 +1,4 @@
-"""Keeps the accepted configuration document in force on this router."""
+"""Keeps this router's configuration document up to date."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,16 +18,16 @@
 KIND = "configuration"
 NAME = "current"
 STEP = "configuration"
-REOPEN_S = 0.2
-REPAIR_S = 0.5
-ABSENT_S = 0.5
-SETTLE_S = 10.0
-MAX_SEEN = 64
+REWATCH_JITTER_S = 0.2
+REPAIR_JITTER_S = 0.5
+ABSENT_POLL_S = 0.5
+RESOLVE_TIMEOUT_S = 10.0
+MAX_APPLY_IDS = 64
 
 logger = logging.getLogger(__name__)
 
-_NO_EFFECT = (interface.ConditionFailed, interface.StoreUnavailable)
-_FAILED = (*_NO_EFFECT, interface.OutcomeUnknown)
+_NO_EFFECT_ERRORS = (interface.ConditionFailed, interface.StoreUnavailable)
+_STORE_ERRORS = (*_NO_EFFECT_ERRORS, interface.OutcomeUnknown)
 
 
 def _count(event: str) -> None:
@@ -37,18 +37,19 @@
 
 
 class ConfigurationController:
-    """Follows the store and the peers, and applies operators' documents.
+    """Adopts newer documents, and stores those that operators apply.
 
-    The generation in force never falls.  One watch is open at a time.
+    Documents come from the store, from peers and from operators.  The
+    generation in force never decreases.  One watch is open at a time.
 
     Parameters
     ----------
     store : interface.ObjectStore
-        Where the accepted document is kept.
+        Store of the accepted document.
     timeout_s : float
-        Seconds that one call to the store may take.
+        Timeout of one call to the store, in seconds.
     watch_wait_s : float
-        Seconds that a watch waits before it is opened anew.
+        Seconds after which a watch is reopened.
     rng : random.Random
         Source of jitter.
 
@@ -73,7 +74,7 @@
         self._rng = rng or random.Random()
         self._current: model.Accepted | None = None
         self._subscribers: list[Callable[[model.Accepted], None]] = []
-        self._seen: dict[int, str] = {}
+        self._apply_ids: dict[int, str] = {}
         self._version = 0
         self._stored_generation: int | None = 0
 
@@ -83,23 +84,23 @@
         return self._current
 
     def subscribe(self, callback: Callable[[model.Accepted], None]) -> None:
-        """Call back at once and on each change with what is in force."""
+        """Call back with the document in force, now and on each change."""
         self._subscribers.append(callback)
         if self._current is not None:
             callback(self._current)
 
     def offer(self, accepted: model.Accepted) -> bool:
-        """Take a peer's document if it is newer; say whether it was."""
-        return self._take(accepted, acceptance.Source.PEER)
+        """Adopt a peer's document if it is newer; return whether it was."""
+        return self._adopt(accepted, acceptance.Source.PEER)
 
     async def run(self) -> None:
-        """Follow the store until cancelled."""
+        """Watch the store until cancelled."""
         failures = 0
         while True:
             try:
-                await self._observe()
+                await self._watch()
                 failures = 0
-            except _FAILED as error:
+            except _STORE_ERRORS as error:
                 failures += 1
                 _count(f"watch_{type(error).__name__}")
                 await asyncio.sleep(backoff.delay_s(failures, self._rng))
@@ -114,7 +115,7 @@
         data : object
             The document as decoded JSON.
         expected_generation : int
-            Generation that the operator started from; 0 for none.
+            Generation that the operator's change is based on; 0 for none.
         author : str
             Who applies it.
 
@@ -126,38 +127,39 @@
         Raises
         ------
         RudderError
-            ``config_invalid``, ``config_conflict`` and
-            ``store_unavailable`` had no effect; ``outcome_unknown`` may
-            have.
+            With ``config_invalid``, ``config_conflict`` or
+            ``store_unavailable`` nothing was changed; with
+            ``outcome_unknown`` the document may have been stored.
         """
         document = await asyncio.to_thread(validation.parse, data)
         try:
-            found = await self._get()
+            stored_object = await self._get()
         except interface.StoreUnavailable as error:
-            raise _unavailable(str(error)) from error
-        self._check_expected(expected_generation, found)
+            raise _store_unavailable(str(error)) from error
+        self._check_expected(expected_generation, stored_object)
         accepted = model.Accepted(
             expected_generation + 1, uuid.uuid4().hex, author, document
         )
-        await self._write_settled(accepted, found)
-        self._take(accepted, acceptance.Source.APPLY)
+        await self._write_resolved(accepted, stored_object)
+        self._adopt(accepted, acceptance.Source.APPLY)
         _count("applied")
         return accepted
 
     def _check_expected(
         self,
         expected_generation: int,
-        found: interface.StoredObject | None,
+        stored_object: interface.StoredObject | None,
     ) -> None:
-        if found is not None and self._decoded(found) is None:
+        if stored_object is not None and self._decode(stored_object) is None:
             raise errors.RudderError(
                 errors.Code.CONFIG_CONFLICT,
                 "the store holds a document that this version cannot read",
                 step=STEP,
                 peer="store",
             )
-        # In force is the newest document that this router knows of, not
-        # what the store holds: the store may have come back older.
+        # Compared with the newest document that this router knows, not
+        # with the stored one: the store may have been restored from an
+        # older copy.
         if acceptance.generation_of(self._current) != expected_generation:
             raise self._conflict(self._current)
 
@@ -175,89 +177,97 @@
             author=author,
         )
 
-    async def _write_settled(
-        self, accepted: model.Accepted, found: interface.StoredObject | None
+    async def _write_resolved(
+        self,
+        accepted: model.Accepted,
+        stored_object: interface.StoredObject | None,
     ) -> None:
-        lost = False
+        answer_lost = False
         try:
-            await self._write(accepted, found)
+            await self._write(accepted, stored_object)
             return
         except interface.StoreUnavailable as error:
-            raise _unavailable(str(error)) from error
+            raise _store_unavailable(str(error)) from error
         except interface.OutcomeUnknown:
             _count("answer_lost")
-            lost = True
+            answer_lost = True
         except interface.ConditionFailed:
             _count("condition_failed")
         try:
-            async with asyncio.timeout(SETTLE_S):
-                await self._settle(accepted, found, lost)
+            async with asyncio.timeout(RESOLVE_TIMEOUT_S):
+                await self._resolve(accepted, stored_object, answer_lost)
         except TimeoutError as error:
-            raise _unknown(accepted) from error
+            raise _outcome_unknown(accepted) from error
 
-    async def _settle(
+    async def _resolve(
         self,
         accepted: model.Accepted,
-        found: interface.StoredObject | None,
-        lost: bool,
+        stored_object: interface.StoredObject | None,
+        answer_lost: bool,
     ) -> None:
-        # The answer was lost, perhaps after the write took effect.  The
-        # store's apply_id tells.  While it shows the state from before,
-        # the write may still be under way, so the same conditional write
-        # is sent again: whichever comes second fails its condition.
+        # The answer was lost, perhaps after the write took effect, which
+        # the stored apply_id shows.  While the store holds the previous
+        # state, the write may still be in flight, so the same conditional
+        # write is sent again: whichever arrives second fails its condition.
         failures = 0
         while True:
             try:
-                present = await self._get()
-                if not self._must_write_again(accepted, present, found, lost):
+                current_object = await self._get()
+                if not self._must_retry_write(
+                    accepted, current_object, stored_object, answer_lost
+                ):
                     return
-                found = present
-                await self._write(accepted, found)
+                stored_object = current_object
+                await self._write(accepted, stored_object)
                 return
-            except _FAILED as error:
-                lost = lost or isinstance(error, interface.OutcomeUnknown)
+            except _STORE_ERRORS as error:
+                answer_lost = answer_lost or isinstance(
+                    error, interface.OutcomeUnknown
+                )
                 failures += 1
                 await asyncio.sleep(backoff.delay_s(failures, self._rng))
 
-    def _must_write_again(
+    def _must_retry_write(
         self,
         accepted: model.Accepted,
-        present: interface.StoredObject | None,
-        found: interface.StoredObject | None,
-        lost: bool,
+        current_object: interface.StoredObject | None,
+        previous_object: interface.StoredObject | None,
+        answer_lost: bool,
     ) -> bool:
-        stored = self._decoded(present)
-        outcome = acceptance.settle(accepted, stored, self._seen)
+        stored = self._decode(current_object)
+        outcome = acceptance.settle(accepted, stored, self._apply_ids)
         if outcome is acceptance.Settled.DONE:
             return False
         if outcome is acceptance.Settled.LOST_RACE:
             raise self._conflict(self._current)
-        moved = _version_of(present) != _version_of(found)
-        if outcome is acceptance.Settled.UNKNOWN or (moved and lost):
-            raise _unknown(accepted)
+        changed = _version_of(current_object) != _version_of(previous_object)
+        if outcome is acceptance.Settled.UNKNOWN or (changed and answer_lost):
+            raise _outcome_unknown(accepted)
         return True
 
-    async def _observe(self) -> None:
+    async def _watch(self) -> None:
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
-        found = await self._store.watch(
+        started_s = loop.time()
+        stored_object = await self._store.watch(
             KIND, NAME, self._version, wait_s=self._watch_wait_s
         )
-        if found is not None:
-            self._read(found)
-        elif loop.time() - began_s < self._watch_wait_s / 2:
-            # There is no such object.  Without a pause this would ask
-            # again at once, for ever.
+        if stored_object is not None:
+            self._handle_object(stored_object)
+        elif loop.time() - started_s < self._watch_wait_s / 2:
+            # The object does not exist, so the watch returned at once.
+            # Without a delay this would become a busy loop.
             self._version, self._stored_generation = 0, 0
-            await asyncio.sleep(self._rng.uniform(ABSENT_S / 2, ABSENT_S))
+            await asyncio.sleep(
+                self._rng.uniform(ABSENT_POLL_S / 2, ABSENT_POLL_S)
+            )
         if self._is_store_behind():
             await self._repair()
-        elif found is not None:
-            # A change answers all routers' watches in one instant.
-            await asyncio.sleep(self._rng.uniform(0, REOPEN_S))
+        elif stored_object is not None:
+            # A change ends the watches of all routers at the same time.
+            await asyncio.sleep(self._rng.uniform(0, REWATCH_JITTER_S))
 
     def _is_store_behind(self) -> bool:
-        # None: the store holds what this version cannot read, and that
+        # None: the stored document is not readable by this version, and
         # must not be overwritten.
         return (
             self._stored_generation is not None
@@ -266,76 +276,85 @@
         )
 
     async def _repair(self) -> None:
-        # The store came back in an older state.  Routers started now
-        # would take the old document, so that the change would be lost
-        # with the last router that holds it.  The jitter lets one of
-        # them write; the others then find it done.
-        await asyncio.sleep(self._rng.uniform(0, REPAIR_S))
-        found = await self._get()
+        # The store was restored to an older state.  Routers started now
+        # would adopt the old document, and the change would be lost with
+        # the last router that holds it.  With the jitter, one router
+        # usually writes first and the others find the store up to date.
+        await asyncio.sleep(self._rng.uniform(0, REPAIR_JITTER_S))
+        stored_object = await self._get()
         if not self._is_store_behind():
             return
         logger.warning(
-            "store holds generation %s, %s is in force: writing it back",
+            "store holds generation %s, older than generation %s in force; "
+            "writing the newer one back",
             self._stored_generation,
             acceptance.generation_of(self._current),
         )
-        await self._write(self._current, found)
+        await self._write(self._current, stored_object)
         _count("repaired")
 
     async def _get(self) -> interface.StoredObject | None:
-        found = await self._store.get(KIND, NAME, timeout_s=self._timeout_s)
-        if found is None:
+        stored_object = await self._store.get(
+            KIND, NAME, timeout_s=self._timeout_s
+        )
+        if stored_object is None:
             self._version, self._stored_generation = 0, 0
         else:
-            self._read(found)
-        return found
+            self._handle_object(stored_object)
+        return stored_object
 
     async def _write(
-        self, accepted: model.Accepted, found: interface.StoredObject | None
+        self,
+        accepted: model.Accepted,
+        stored_object: interface.StoredObject | None,
     ) -> None:
         value = serialisation.accepted_to_json(accepted)
-        if found is None:
+        if stored_object is None:
             version = await self._store.create(
                 KIND, NAME, value, timeout_s=self._timeout_s
             )
         else:
             version = await self._store.update(
-                KIND, NAME, value, found.version, timeout_s=self._timeout_s
+                KIND,
+                NAME,
+                value,
+                stored_object.version,
+                timeout_s=self._timeout_s,
             )
         self._version = version
         self._stored_generation = accepted.generation
 
-    def _read(self, found: interface.StoredObject) -> None:
-        self._version = found.version
-        accepted = self._decoded(found)
+    def _handle_object(self, stored_object: interface.StoredObject) -> None:
+        self._version = stored_object.version
+        accepted = self._decode(stored_object)
         if accepted is None:
             self._stored_generation = None
             return
         self._stored_generation = accepted.generation
-        self._take(accepted, acceptance.Source.STORE)
+        self._adopt(accepted, acceptance.Source.STORE)
 
-    def _decoded(
-        self, found: interface.StoredObject | None
+    def _decode(
+        self, stored_object: interface.StoredObject | None
     ) -> model.Accepted | None:
-        if found is None:
+        if stored_object is None:
             return None
         try:
-            return serialisation.accepted_from_json(found.value)
+            return serialisation.accepted_from_json(stored_object.value)
         except Exception:
-            # cattrs raises groups of whatever its hooks raised.
+            # cattrs raises groups of any exceptions of its hooks.
             _count("unreadable")
-            logger.exception("the store's document cannot be read")
+            logger.exception("stored configuration document cannot be read")
             return None
 
-    def _take(
+    def _adopt(
         self, accepted: model.Accepted, source: acceptance.Source
     ) -> bool:
         if source is acceptance.Source.PEER:
-            self._seen.setdefault(accepted.generation, accepted.apply_id)
+            self._apply_ids.setdefault(accepted.generation, accepted.apply_id)
         else:
-            self._seen[accepted.generation] = accepted.apply_id
-        while len(self._seen) > MAX_SEEN:
-            del self._seen[min(self._seen)]
+            self._apply_ids[accepted.generation] = accepted.apply_id
+        while len(self._apply_ids) > MAX_APPLY_IDS:
+            del self._apply_ids[min(self._apply_ids)]
         if not acceptance.supersedes(accepted, self._current, source):
             return False
         self._current = accepted
@@ -359,27 +378,27 @@
         try:
             callback(accepted)
         except Exception:
-            # One subscriber's fault must not keep the document from the
-            # others, nor end the task that follows the store.
-            logger.exception("a subscriber failed")
+            # A failing subscriber must not keep the document from the
+            # others, nor end the task that watches the store.
+            logger.exception("subscriber to the configuration failed")
 
 
-def _version_of(found: interface.StoredObject | None) -> int:
-    return found.version if found else 0
+def _version_of(stored_object: interface.StoredObject | None) -> int:
+    return stored_object.version if stored_object else 0
 
 
-def _unavailable(message: str) -> errors.RudderError:
+def _store_unavailable(message: str) -> errors.RudderError:
     _count("store_unavailable")
     return errors.RudderError(
         errors.Code.STORE_UNAVAILABLE,
         f"the document was not stored: {message}",
         step=STEP,
         peer="store",
-        retry_after_s=backoff.LONGEST_S,
+        retry_after_s=backoff.MAX_DELAY_S,
     )
 
 
-def _unknown(accepted: model.Accepted) -> errors.RudderError:
+def _outcome_unknown(accepted: model.Accepted) -> errors.RudderError:
     _count("outcome_unknown")
     return errors.RudderError(
         errors.Code.OUTCOME_UNKNOWN,
@@ -388,5 +407,5 @@
         step=STEP,
         peer="store",
         ran=errors.Ran.UNKNOWN,
-        retry_after_s=backoff.LONGEST_S,
+        retry_after_s=backoff.MAX_DELAY_S,
     )
--- a/toucanrudder/controllers/instances.py
+++ b/toucanrudder/controllers/instances.py
@@ -11,42 +11,42 @@
 from toucanrudder.membership import instances
 from toucanrudder.observability import metrics
 
-#: Seconds between two polls; also what it adds to the list's own lag.
-INTERVAL_S = 1.0
+#: Shortest interval between two polls; it adds to the list's own lag.
+MIN_INTERVAL_S = 1.0
 
 #: Polls a second by all routers together, a twentieth of the store's
-#: reads; the store's rates grow more slowly than the fleet.
+#: read rate, which grows more slowly than the number of routers.
 MAX_POLLS_PER_S = 100.0
 
 
-def interval_s(routers: int) -> float:
+def poll_interval_s(routers: int) -> float:
     """Return the seconds between two polls of one router.
 
     Examples
     --------
-    >>> interval_s(8), interval_s(400)
+    >>> poll_interval_s(8), poll_interval_s(400)
     (1.0, 4.0)
     """
-    return max(INTERVAL_S, routers / MAX_POLLS_PER_S)
+    return max(MIN_INTERVAL_S, routers / MAX_POLLS_PER_S)
 
 
 class InstanceController:
-    """Owns the instance table.
+    """Keeps the instance table up to date.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        For the polls.
+        Session for the polls.
     address : str
         ``IP:port`` of the platform's object API.
     table : instances.InstanceTable
-        Written here only.
+        Table to update; this is its only writer.
     routers : callable
         Returns the number of live routers.
     timeout_s : float
-        Seconds that a poll may take.
+        Timeout of a poll in seconds.
     rng : random.Random
-        For jitter.
+        Source of jitter.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
             try:
                 self._table.replace(await self._list())
                 failures = 0
-                pause_s = interval_s(self._routers())
+                pause_s = poll_interval_s(self._routers())
                 await asyncio.sleep(pause_s * self._rng.uniform(0.75, 1.0))
             except (
                 aiohttp.ClientError,
--- a/toucanrudder/controllers/tests/test_cache_events.py
+++ b/toucanrudder/controllers/tests/test_cache_events.py
@@ -19,7 +19,7 @@
 KEYS = (b"1" * 16, b"2" * 16)
 
 
-async def until_believed(believed, engine):
+async def until_indexed(index, engine):
     async for attempt in tenacity.AsyncRetrying(
         retry=tenacity.retry_if_exception_type(AssertionError),
         stop=tenacity.stop_after_delay(30),
@@ -27,26 +27,27 @@
         reraise=True,
     ):
         with attempt:
-            assert believed.expected_cached_tokens(
+            assert index.expected_cached_tokens(
                 "e", engine.incarnation, KEYS, time.monotonic()
             )
 
 
 async def test_events_of_a_restarted_engine_are_read_from_the_start():
-    """An engine with many events behind it restarts at the same address.
+    """Events of a restarted engine are missed for a long time.
 
-    Its numbers begin at one again.  A reader that asks for what comes
-    after the old number hears nothing for long, and goes on computing
-    prompts that the engine holds.
+    An engine that has sent many events restarts at the same address and
+    numbers its events from one again.  A reader that asks for events after
+    the old number gets none, and prompts are sent elsewhere though the
+    engine has them cached.
     """
-    believed = cache_index.PrefixCacheIndex()
+    index = cache_index.PrefixCacheIndex()
     options = {"name": "e", "event_lag_s": 0.0}
     async with aiohttp.ClientSession() as session:
         async with engines.opened(**options) as first:
             upstream = model.Upstream("e", "engine", first.address, "z", "p")
             controller = cache_events.CacheEventController(
                 session,
-                believed,
+                index,
                 lambda: (upstream,),
                 random.Random(1),
                 time.monotonic,
@@ -55,25 +56,25 @@
             for number in range(50):
                 first.cache.store([b"%016d" % number], time.time())
             first.cache.store(KEYS, time.time())
-            await until_believed(believed, first)
+            await until_indexed(index, first)
         port = int(first.address.rpartition(":")[2])
         async with engines.opened(port=port, **options) as second:
             second.cache.store(KEYS, time.time())
-            await until_believed(believed, second)
+            await until_indexed(index, second)
         following.cancel()
 
 
-class Streams:
-    """Event streams in place of a session; keeps who was asked."""
+class StubSession:
+    """A client session with scripted streams; records the requested URLs."""
 
-    def __init__(self, first):
-        self.first = first
-        self.asked = []
+    def __init__(self, first_replies):
+        self.first_replies = first_replies
+        self.requested = []
 
     @contextlib.asynccontextmanager
     async def get(self, url, **options):
-        self.asked.append(url)
-        lines = self.first.pop(url, GOOD)
+        self.requested.append(url)
+        lines = self.first_replies.pop(url, GOOD)
         if isinstance(lines, BaseException):
             raise lines
         response = mock.Mock()
@@ -99,17 +100,17 @@
 URLS = ["http://e1:1/cache/events", "http://e2:1/cache/events"]
 
 
-def _controller(streams, believed):
+def _controller(session, index):
     upstreams = tuple(
         model.Upstream(name, "engine", f"{name}:1", "z", "p")
         for name in ("e1", "e2")
     )
     return cache_events.CacheEventController(
-        streams, believed, lambda: upstreams, random.Random(1), clock.now_s
+        session, index, lambda: upstreams, random.Random(1), clock.now_s
     )
 
 
-UNREADABLE = [
+MALFORMED_LINES = [
     pytest.param(b"nothing", id="no_json"),
     pytest.param(b"[" * 100_000, id="deep"),
     pytest.param(b"null", id="null"),
@@ -125,39 +126,39 @@
 ]
 
 
-@pytest.mark.parametrize("line", UNREADABLE)
-def test_an_event_that_cannot_be_read_breaks_its_stream_alone(line):
-    """One engine's strange event ends the reading of all engines' events.
+@pytest.mark.parametrize("line", MALFORMED_LINES)
+def test_a_malformed_event_ends_only_its_own_stream(line):
+    """One engine's malformed event ends the streams of all engines.
 
-    The error that it raises is none of those that a stream may end by, so
-    that it ends the group of tasks that reads all streams.
+    It raises an error that is not handled as the end of one stream, and
+    so ends the task group that reads all streams.
     """
 
     async def main():
-        believed = cache_index.PrefixCacheIndex()
-        streams = Streams({URLS[0]: line.strip() + b"\n"})
-        running = asyncio.ensure_future(_controller(streams, believed).run())
-        await asyncio.sleep(1.0 + max(cache_events.RECONNECT_S))
+        index = cache_index.PrefixCacheIndex()
+        session = StubSession({URLS[0]: line.strip() + b"\n"})
+        running = asyncio.ensure_future(_controller(session, index).run())
+        await asyncio.sleep(1.0 + max(cache_events.RECONNECT_DELAY_S))
         has_ended = running.done()
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
-        return has_ended, sorted(streams.asked)
+        return has_ended, sorted(session.requested)
 
     assert timing.run(main) == (False, [URLS[0], *URLS])
 
 
 def test_all_engines_are_followed_again_after_a_restart():
-    """Prompts that engines hold are computed again, for ever.
+    """No cache events are read any more after a restart.
 
-    A task ends by an error that nobody expected, and the controller with
-    it.  Started again, it finds the ended tasks in its table and starts
-    none.
+    A task fails with an unexpected error, and the controller with it.
+    When restarted, the controller finds the ended tasks in its table and
+    starts no new ones.
     """
 
     async def main():
-        believed = cache_index.PrefixCacheIndex()
-        streams = Streams({URLS[0]: RuntimeError("fault"), URLS[1]: b""})
-        controller = _controller(streams, believed)
+        index = cache_index.PrefixCacheIndex()
+        session = StubSession({URLS[0]: RuntimeError("fault"), URLS[1]: b""})
+        controller = _controller(session, index)
         with pytest.raises(ExceptionGroup):
             await controller.run()
         running = asyncio.ensure_future(controller.run())
@@ -166,28 +167,31 @@
         return [
             name
             for name in ("e1", "e2")
-            if believed.expected_cached_tokens(name, "i", KEYS, clock.now_s())
+            if index.expected_cached_tokens(name, "i", KEYS, clock.now_s())
         ]
 
     assert timing.run(main) == ["e1", "e2"]
 
 
 def test_an_engine_is_followed_again_after_its_task_was_cancelled():
-    """One engine's prompts are computed again, for as long as the run lasts.
+    """One engine's cache events are not read any more.
 
     Something that its task waits on is cancelled by another part of the
-    process.  A cancelled task ends no group, and nobody starts another.
+    process.  A cancelled task does not end its group, and no new task is
+    started.
     """
 
     async def main():
-        believed = cache_index.PrefixCacheIndex()
-        streams = Streams({URLS[0]: asyncio.CancelledError(), URLS[1]: b""})
-        running = asyncio.ensure_future(_controller(streams, believed).run())
-        await asyncio.sleep(3 * cache_events.CHECK_S)
+        index = cache_index.PrefixCacheIndex()
+        session = StubSession(
+            {URLS[0]: asyncio.CancelledError(), URLS[1]: b""}
+        )
+        running = asyncio.ensure_future(_controller(session, index).run())
+        await asyncio.sleep(3 * cache_events.UPDATE_INTERVAL_S)
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
         return bool(
-            believed.expected_cached_tokens("e1", "i", KEYS, clock.now_s())
+            index.expected_cached_tokens("e1", "i", KEYS, clock.now_s())
         )
 
     assert timing.run(main)
--- a/toucanrudder/controllers/tests/test_configuration.py
+++ b/toucanrudder/controllers/tests/test_configuration.py
@@ -13,7 +13,7 @@
 from toucanrudder.store import memory
 
 KEY = (configuration.KIND, configuration.NAME)
-PROMISE_S = 30
+TIMEOUT_S = 30
 
 
 def document(weights="v1"):
@@ -29,7 +29,7 @@
 
 
 class Fleet:
-    """Controllers over one store; each change of state can be awaited."""
+    """Controllers of several routers that share one store."""
 
     def __init__(self):
         self.store = memory.MemoryObjectStore()
@@ -52,7 +52,7 @@
         return controller
 
     async def all_at(self, generation):
-        async with asyncio.timeout(PROMISE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while self.generations() != {generation}:
                 self.changed.clear()
                 await self.changed.wait()
@@ -64,7 +64,7 @@
         }
 
     async def stored_at(self, generation):
-        async with asyncio.timeout(PROMISE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
                 found = await self.store.get(*KEY, timeout_s=1)
                 if found and found.value["generation"] == generation:
@@ -98,11 +98,12 @@
 
 
 async def test_two_operators_race(fleet):
-    """One operator of two gets a conflict that names the winner.
+    """Of two concurrent changes, the loser gets a conflict.
 
-    Both start from generation 1 at two routers at one moment.  Both
-    conditional writes reach the store, and one fails there.  The loser
-    has to learn whose document is in force, and that his had no effect.
+    Both operators start from generation 1, at two routers, at the same
+    time.  Both conditional writes reach the store, and one fails.  The
+    loser must learn whose document is in force, and that the own one had
+    no effect.
     """
     one, two = fleet.start(), fleet.start()
     await one.apply(document(), 0, "ann")
@@ -124,11 +125,11 @@
 @pytest.mark.parametrize("fault", ["lose_answers", "drop_writes"])
 @pytest.mark.parametrize("times", [1, 2])
 async def test_a_lost_answer_to_the_operators_write(fleet, fault, times):
-    """The operator is told the truth though the store's answer got lost.
+    """The operator gets the right outcome though an answer was lost.
 
-    The write takes effect and its answer is lost, or the write itself
-    is lost on its way.  The router cannot tell which; it reads back its
-    apply_id and sends the same conditional write again where needed.
+    The write takes effect and its answer is lost, or the write itself is
+    lost.  The router cannot tell which; it reads the stored apply_id and
+    repeats the same conditional write if needed.
     """
     controller = fleet.start()
     await controller.apply(document(), 0, "ann")
@@ -139,13 +140,13 @@
     assert controller.current == taken
 
 
-async def test_an_answer_that_stays_unknown_is_said_so(fleet, monkeypatch):
-    """The operator hears "unknown", never a false "not run".
+async def test_an_unresolved_write_is_reported_as_unknown(fleet, monkeypatch):
+    """The operator gets "outcome_unknown", never a false "not_run".
 
-    The store takes the write, its answer is lost, and then the store is
-    down for longer than the router waits.
+    The write takes effect, its answer is lost, and then the store is down
+    for longer than the router waits.
     """
-    monkeypatch.setattr(configuration, "SETTLE_S", 0.3)
+    monkeypatch.setattr(configuration, "RESOLVE_TIMEOUT_S", 0.3)
     controller = fleet.start()
     fleet.store.faults.lose_answers = 1
     original = fleet.store._write
@@ -164,12 +165,12 @@
 
 
 @pytest.mark.parametrize("emptied", [False, True])
-async def test_the_store_comes_back_older(fleet, emptied):
-    """No router goes back, and routers started later get the newest.
+async def test_a_store_restored_to_an_older_state(fleet, emptied):
+    """No router reverts, and routers started later get the newest document.
 
-    The platform restores its store from a snapshot made before the last
-    change.  Routers see an older document (or none) in the store; one
-    of them writes back what is in force.
+    The store is restored from a snapshot made before the last change, so
+    it holds an older document or none; one router writes the document in
+    force back.
     """
     one = fleet.start()
     fleet.start()
@@ -185,7 +186,7 @@
     await fleet.all_at(4)
 
 
-async def test_a_change_on_top_of_a_store_that_came_back_older(fleet):
+async def test_a_change_after_the_store_was_restored(fleet):
     one, two = fleet.start(), fleet.start()
     await one.apply(document(), 0, "ann")
     snapshot = fleet.store.snapshot()
@@ -198,10 +199,10 @@
 
 
 async def test_a_router_started_while_the_store_is_down(fleet):
-    """It serves what a peer tells it, and catches up with the store.
+    """The router uses a peer's document, then the store's newer one.
 
-    The store is down before the router starts and comes back later with
-    a newer document.
+    The store is down before the router starts, and recovers later with a
+    newer document.
     """
     other = fleet.start()
     for generation in range(3):
@@ -218,11 +219,11 @@
 
 
 async def test_a_hung_watch(fleet):
-    """A silent watch delays the router by its peers' telling only.
+    """With hung watches, documents still arrive from peers.
 
-    All watches stay open and silent for good, which looks like "no
-    change".  The peer's word brings the document; after the watch's
-    deadline a new one is opened.
+    All watches stay open and silent, which looks like "no change".  The
+    document comes from a peer; after the watch's deadline a new watch is
+    opened.
     """
     fleet.store.faults.hang_watches = True
     one, two = fleet.start(watch_wait_s=0.3), fleet.start(watch_wait_s=0.3)
@@ -252,7 +253,7 @@
     assert controller.current.generation == 1
 
 
-async def test_what_this_version_cannot_read_is_not_overwritten(fleet):
+async def test_an_unreadable_document_is_not_overwritten(fleet):
     one = fleet.start(watch_wait_s=0.05)
     await one.apply(document(), 0, "ann")
     found = await fleet.store.get(*KEY, timeout_s=1)
@@ -262,25 +263,25 @@
         await one.apply(document(), 1, "ann")
     assert caught.value.code is errors.Code.CONFIG_CONFLICT
     one.offer(accepted(3))
-    watches = (configuration.KIND, "watch")
-    enough = fleet.store.counts[watches] + 4
-    async with asyncio.timeout(PROMISE_S):
-        while fleet.store.counts[watches] < enough:
+    watch_key = (configuration.KIND, "watch")
+    min_watches = fleet.store.counts[watch_key] + 4
+    async with asyncio.timeout(TIMEOUT_S):
+        while fleet.store.counts[watch_key] < min_watches:
             await fleet.store.watch("other", "none", 0, wait_s=0.01)
     found = await fleet.store.get(*KEY, timeout_s=1)
     assert found.value == value
 
 
 async def test_a_failing_subscriber_keeps_nothing_from_the_others(fleet):
-    controller, got = fleet.start(), []
+    controller, received = fleet.start(), []
 
     def fail(_):
         raise RuntimeError("subscriber")
 
     controller.subscribe(fail)
-    controller.subscribe(got.append)
+    controller.subscribe(received.append)
     await controller.apply(document(), 0, "ann")
-    assert [taken.generation for taken in got] == [1]
+    assert [taken.generation for taken in received] == [1]
 
 
 SETTLED = [
@@ -295,7 +296,7 @@
 
 
 @pytest.mark.parametrize(("stored", "seen", "outcome"), SETTLED)
-def test_settling_a_lost_answer(stored, seen, outcome):
+def test_outcome_of_a_write_with_a_lost_answer(stored, seen, outcome):
     written = accepted(5, "mine")
     assert acceptance.settle(written, stored, seen) is outcome
 
@@ -317,10 +318,10 @@
     assert acceptance.supersedes(candidate, current, source) is taken
 
 
-def test_pauses_are_bounded_and_differ():
+def test_backoff_delays_are_bounded_and_differ():
     rng = random.Random(1)
     for failures in (1, 2, 5, 10**6):
-        pauses = [backoff.delay_s(failures, rng) for _ in range(50)]
-        assert max(pauses) <= backoff.LONGEST_S
-        assert min(pauses) >= backoff.FIRST_S / 2
-        assert len(set(pauses)) == 50
+        delays = [backoff.delay_s(failures, rng) for _ in range(50)]
+        assert max(delays) <= backoff.MAX_DELAY_S
+        assert min(delays) >= backoff.BASE_DELAY_S / 2
+        assert len(set(delays)) == 50
--- a/toucanrudder/controllers/tests/test_loads.py
+++ b/toucanrudder/controllers/tests/test_loads.py
@@ -1,4 +1,4 @@
-"""Polls of load reports that end in an unexpected way."""
+"""Polls of load reports that fail in unexpected ways."""
 
 import asyncio
 import contextlib
@@ -17,8 +17,8 @@
 
 INTERVAL_S = 0.5
 
-#: Two looks after the first one: the poll, which has waited for longer
-#: than the controller, goes on first in that moment.
+#: Two steps of the controller after the first.  At that time the poll, which
+#: has slept longer than the controller, is resumed first.
 FAULT_S = INTERVAL_S
 
 
@@ -40,8 +40,8 @@
     return model.Upstream(name, "engine", address, "z", "p")
 
 
-class Reports:
-    """Load reports in place of a session; the first question fails."""
+class StubSession:
+    """A client session that serves load reports; the first poll fails."""
 
     def __init__(self):
         self.is_first = True
@@ -57,18 +57,18 @@
 
 
 def test_all_upstreams_are_polled_again_after_a_restart():
-    """An upstream that answers is never polled again, and counts as failed.
+    """A healthy upstream is never polled again and counts as failed.
 
-    A poll ends by an error that nobody expected, as other polls are about
-    to begin.  These are cancelled before their first step, so that nothing
-    takes their names off those that are polled.
+    A poll fails with an unexpected error when other polls are about to
+    start.  These are cancelled before their first step, so their names
+    stay in the set of upstreams being polled.
     """
     first, late = _upstream("e1", "e1:1"), _upstream("e2", "e2:1")
 
     async def main():
         table = loads.LoadTable()
         controller = _controller(
-            Reports(),
+            StubSession(),
             lambda: (first, late) if clock.now_s() >= FAULT_S else (first,),
             table,
         )
@@ -84,7 +84,7 @@
 
 JSON = "application/json"
 
-STRANGE = [
+MALFORMED = [
     pytest.param(b"null", JSON, id="null"),
     pytest.param(b"[]", JSON, id="list"),
     pytest.param(b"{}", JSON, id="empty"),
@@ -100,20 +100,20 @@
 ]
 
 
-@pytest.mark.parametrize(("body", "content_type"), STRANGE)
-async def test_a_strange_report_is_one_failed_poll(body, content_type):
-    """One upstream's strange report ends the polls of all upstreams.
+@pytest.mark.parametrize(("body", "content_type"), MALFORMED)
+async def test_a_malformed_report_fails_only_its_poll(body, content_type):
+    """One upstream's malformed report ends the polls of all upstreams.
 
-    The error that it raises is none of those that a poll may end by, so
-    that it ends the group of tasks that polls.
+    It raises an error that is not handled as one failed poll, and so ends
+    the task group of all polls.
     """
-    asked = []
-    is_asked_again = asyncio.Event()
+    requests = []
+    polled_again = asyncio.Event()
 
     async def answer(request):
-        asked.append(request)
-        if len(asked) > 2:
-            is_asked_again.set()
+        requests.append(request)
+        if len(requests) > 2:
+            polled_again.set()
         return web.Response(body=body, headers={"Content-Type": content_type})
 
     application = web.Application()
@@ -127,14 +127,14 @@
     async with aiohttp.ClientSession() as session:
         controller = _controller(session, lambda: (upstream,), table, 0.02)
         running = asyncio.ensure_future(controller.run())
-        waiting = asyncio.ensure_future(is_asked_again.wait())
+        waiting = asyncio.ensure_future(polled_again.wait())
         done, _ = await asyncio.wait(
             {running, waiting},
             timeout=30,
             return_when=asyncio.FIRST_COMPLETED,
         )
-        for each in (running, waiting):
-            each.cancel()
+        for task in (running, waiting):
+            task.cancel()
         await asyncio.gather(running, waiting, return_exceptions=True)
     await runner.cleanup()
     assert done == {waiting}
--- a/toucanrudder/controllers/weights.py
+++ b/toucanrudder/controllers/weights.py
@@ -1,4 +1,4 @@
-"""Orders engines to load weights, under one lease over all routers."""
+"""Orders engines to load weights; one lease holder acts for all routers."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,16 +21,16 @@
 LEASE = "weights"
 LOG = logging.getLogger(__name__)
 
-LOOK_S = 0.5
+STEP_INTERVAL_S = 0.5
 
-#: Must stay below the lease's margin: an order that is still on its way
-#: when the lease ends has to arrive before another may hold it.
+#: Must stay below the lease's margin: an order in flight when the lease
+#: ends has to arrive before another router may acquire the lease.
 ORDER_TIMEOUT_S = decision.MARGIN_S / 2
 
-#: Reports lag behind the engine by this much at most.
+#: Largest lag of a report behind the engine's state.
 REPORT_LAG_S = 2.0
 
-#: Reports older than this are not relied on.
+#: Reports older than this are ignored.
 MAX_REPORT_AGE_S = 12.0
 
 
@@ -41,26 +41,26 @@
 
 
 class WeightController:
-    """Brings engines to the weights that the document names.
+    """Makes engines load the weights versions of the document.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        For orders.
+        Session for orders.
     holder : holders.LeaseHolder
-        The lease over all routers.
+        Lease for which all routers compete.
     document : callable
         Returns the document in force, or None.
     table : loads.LoadTable
-        The engines' reports.
+        Load reports of the engines.
     load_interval_s : float
-        Seconds between two reports of one engine, as set.
+        Configured seconds between two reports of one engine.
     rng : random.Random
-        For jitter.
+        Source of jitter.
     clock : callable
-        Monotonic time, of the reports.
+        Monotonic time, for the age of reports.
     lease_clock : callable
-        Time of the lease, which runs on while the host is suspended.
+        Clock of the lease, which advances while the host is suspended.
     """
 
     def __init__(
@@ -82,17 +82,19 @@
         self._rng = rng
         self._clock = clock
         self._lease_clock = lease_clock
-        self._ordered_s: dict[str, float] = {}
+        self._last_ordered_s: dict[str, float] = {}
 
     async def run(self) -> None:
         """Give orders while the lease is held, until cancelled."""
         try:
             while True:
-                await asyncio.sleep(LOOK_S * self._rng.uniform(0.75, 1.0))
+                await asyncio.sleep(
+                    STEP_INTERVAL_S * self._rng.uniform(0.75, 1.0)
+                )
                 await self.step()
         finally:
             # A planned stop must not leave the fleet without a holder
-            # for a whole term.  No order is under way here.
+            # for a whole lease term.  No order is in flight here.
             await self._holder.release()
 
     async def step(self) -> None:
@@ -101,20 +103,24 @@
         document = self._document()
         lease = self._holder.current_lease(lease_now_s)
         if lease is None or document is None:
-            self._ordered_s.clear()
+            self._last_ordered_s.clear()
             return
-        # The last holder's orders must show in the engines' reports
-        # before the first new one, or too many would load at once.
-        settle_s = REPORT_LAG_S + load_controllers.interval_s(
+        # The previous holder's orders must be visible in the engines'
+        # reports before the first new order, or too many engines would
+        # load at once.
+        settle_s = REPORT_LAG_S + load_controllers.poll_interval_s(
             self._load_interval_s, len(document.upstreams)
         )
         if lease_now_s < lease.acquired_s + settle_s:
             return
-        due = weights.plan(
-            document, self._reports(document, now_s), self._ordered_s, now_s
+        due_orders = weights.plan(
+            document,
+            self._reports(document, now_s),
+            self._last_ordered_s,
+            now_s,
         )
-        for order in due:
-            await self._give(order)
+        for order in due_orders:
+            await self._give_order(order)
 
     def _reports(
         self, document: model.Document, now_s: float
@@ -126,31 +132,37 @@
                 reports[upstream.name] = known.report
         return reports
 
-    async def _give(self, order: weights.Order) -> None:
+    async def _give_order(self, order: weights.Order) -> None:
         name = order.upstream.name
         try:
-            status = await self._send(order)
+            status = await self._post_order(order)
         except errors.RudderError:
-            LOG.warning("lease lost before an order", extra={"peer": name})
+            LOG.warning(
+                "order not sent: the lease was lost", extra={"peer": name}
+            )
         except (aiohttp.ClientError, OSError) as error:
-            # Whether it arrived is unknown; the report will show, and
-            # the order can be repeated.
+            # Whether the order arrived is unknown; the next report shows
+            # it, and the order can be repeated.
             _count("no_answer")
-            LOG.warning("order: %r", error, extra={"peer": name})
+            LOG.warning(
+                "no answer to an order: %r", error, extra={"peer": name}
+            )
         else:
             _count(f"answered_{status}")
             if status != http.HTTPStatus.OK:
-                del self._ordered_s[name]
+                del self._last_ordered_s[name]
             if status == http.HTTPStatus.CONFLICT:
-                LOG.warning("order fenced off", extra={"peer": name})
-
-    async def _send(self, order: weights.Order) -> int:
-        # The process may have been paused since it planned, while
-        # another took the lease over.  Engines that check would refuse
-        # the old number; for the others this check, the margin and the
-        # order's timeout keep two holders' orders apart.
+                LOG.warning(
+                    "engine refused the order (conflict)", extra={"peer": name}
+                )
+
+    async def _post_order(self, order: weights.Order) -> int:
+        # The process may have been paused since it planned, while another
+        # router acquired the lease.  Engines that check fencing numbers
+        # refuse the old one; for the others this check, the margin and the
+        # order's timeout keep the orders of two holders apart.
         lease = self._holder.require_lease(self._lease_clock())
-        self._ordered_s[order.upstream.name] = self._clock()
+        self._last_ordered_s[order.upstream.name] = self._clock()
         async with self._session.post(
             f"http://{order.upstream.address}/orders",
             json={
