--- a/toucanrudder/forwarding/daemon.py
+++ b/toucanrudder/forwarding/daemon.py
@@ -162,7 +162,7 @@
                 self.conf.caps.overrun,
             ),
             members=self.store_watch.cap_members,
-            is_settled=self.store_watch.is_settled,
+            is_settled=self.store_watch.has_converged,
             ask=functools.partial(
                 self.peering.client.use_cap, deadline_s=capping.OWNER_TIMEOUT_S
             ),
--- a/toucanrudder/forwarding/execution.py
+++ b/toucanrudder/forwarding/execution.py
@@ -133,7 +133,7 @@
 
     def record_answered(self) -> None:
         """Log and count a completely delivered answer."""
-        whole_s = clock.now_s() - self.request.began_s
+        duration_s = clock.now_s() - self.request.began_s
         decisions.record(
             decisions.Answered(
                 request_id=self.call.request_id,
@@ -142,7 +142,7 @@
                 status=self.status,
                 attempts=self.attempt_count,
                 first_s=self.first_part_s,
-                whole_s=whole_s,
+                whole_s=duration_s,
                 events=self.progress.events,
                 longest_gap_s=self.longest_gap_s,
                 objective_s=self.route.objective_s,
@@ -151,7 +151,7 @@
         )
         kind = self.route.repetition.value
         record_duration(
-            kind, "answered" if self.status < 500 else "failed", whole_s
+            kind, "answered" if self.status < 500 else "failed", duration_s
         )
         metrics.histogram(
             "toucanrudder_first_part_seconds", "s", "Until the answer began"
@@ -311,7 +311,7 @@
         )
 
     def cache_scope(self) -> str:
-        """Return the organisation with its own cache; empty if shared."""
+        """Return the organisation whose own cache is used; empty if shared."""
         organisation = self.route_match.organisation
         if organisation is not None and organisation.is_isolated:
             return organisation.name
@@ -405,7 +405,8 @@
         known = self.state.registry.get(self.copy_upstream.incarnation)
         if known is None or known.is_leaving or known.weights != weights:
             return False
-        # After a load of new weights, the KV cache mixes both versions.
+        # If the running engine has loaded new weights, its KV cache mixes
+        # both versions.
         runner = self.state.registry.get(self.upstream)
         return runner is None or runner.weights == weights
 
--- a/toucanrudder/forwarding/peering.py
+++ b/toucanrudder/forwarding/peering.py
@@ -71,20 +71,22 @@
         return tuple(
             messages.Avoided(name, until_s - now_s)
             for name, until_s in self._avoided_until_s.items()
-        ) + tuple(messages.Avoided(*each) for each in stores.items())
+        ) + tuple(messages.Avoided(*store) for store in stores.items())
 
     def merge(self, heartbeat: messages.Heartbeat, now_s: float) -> None:
         """Merge the upstream information of a peer's heartbeat."""
-        for each in heartbeat.weights:
-            self.state.record_weights_version(each.model, each.version, now_s)
+        for weights in heartbeat.weights:
+            self.state.record_weights_version(
+                weights.model, weights.version, now_s
+            )
         for name in heartbeat.leaving_upstreams:
             self.record_leaving(name, now_s)
         self._merge_store_outages(heartbeat, now_s)
         known = self.state.registry.incarnations
         avoided = {
-            each.upstream: each.for_s
-            for each in heartbeat.avoided
-            if each.upstream in known
+            entry.upstream: entry.for_s
+            for entry in heartbeat.avoided
+            if entry.upstream in known
         }
         if heartbeat.registry is not None:
             self.state.registry.add_served_span(
@@ -103,18 +105,18 @@
     def _merge_store_outages(
         self, heartbeat: messages.Heartbeat, now_s: float
     ) -> None:
-        addresses = {each.address for each in self.state.cache_stores()}
-        for each in heartbeat.avoided:
-            if each.upstream in addresses:
+        addresses = {store.address for store in self.state.cache_stores()}
+        for entry in heartbeat.avoided:
+            if entry.upstream in addresses:
                 self.state.store_health.mark_down(
-                    each.upstream, now_s + each.for_s
+                    entry.upstream, now_s + entry.for_s
                 )
 
     def weights(self) -> tuple[messages.Weights, ...]:
         """Return the newest weights versions known to this router."""
         return tuple(
-            messages.Weights(each.model, each.version)
-            for each in self.state.newest_weights.values()
+            messages.Weights(history.model, history.version)
+            for history in self.state.newest_weights.values()
         )
 
     def registry(self, now_s: float) -> messages.Served | None:
--- a/toucanrudder/forwarding/store_watch.py
+++ b/toucanrudder/forwarding/store_watch.py
@@ -138,8 +138,8 @@
         self._names: tuple[str, ...] = ()
         self._cap_members: tuple[capping.Member, ...] = ()
         self._takeover_rank = 0
-        self._settling = convergence.ConvergenceDetector()
-        self._upstreams_settling = convergence.ConvergenceDetector(
+        self._convergence = convergence.ConvergenceDetector()
+        self._upstreams_convergence = convergence.ConvergenceDetector(
             UPSTREAMS_SETTLE_S
         )
         self._has_read_weights = self._has_read_lease = False
@@ -158,9 +158,9 @@
         self._refresh_membership()
         return self._cap_members
 
-    def is_settled(self) -> bool:
+    def has_converged(self) -> bool:
         """Whether the membership has settled after the start."""
-        return self._is_settled(self._settling)
+        return self._has_converged(self._convergence)
 
     def live_router_names(self) -> tuple[str, ...]:
         """Return the names of all live routers, including this one."""
@@ -178,10 +178,10 @@
         if live is self._ranked_members and self._names:
             return
         self._ranked_members = live
-        self._names = (self._state.name, *(each.name for each in live))
+        self._names = (self._state.name, *(member.name for member in live))
         self._cap_members = (
             capping.Member(self._state.name),
-            *(capping.Member(each.name, each.address) for each in live),
+            *(capping.Member(member.name, member.address) for member in live),
         )
         self._takeover_rank = sum(
             name < self._state.name for name in self._names
@@ -221,7 +221,7 @@
     def _choose_reader(
         self, avoided_readers: set[str]
     ) -> fanout.Reader | None:
-        live = {each.name: each.address for each in self._live()}
+        live = {member.name: member.address for member in self._live()}
         readers = fanout.select_readers(self.live_router_names())
         key = self._state.name.encode()[:64]
         for name in rendezvous.ranked(key, readers):
@@ -244,18 +244,22 @@
             deadline_s=fanout.ASK_DEADLINE_S,
         )
 
-    def _is_settled(self, of: convergence.ConvergenceDetector) -> bool:
-        return of.has_converged(len(self.live_router_names()), clock.now_s())
+    def _has_converged(
+        self, detector: convergence.ConvergenceDetector
+    ) -> bool:
+        return detector.has_converged(
+            len(self.live_router_names()), clock.now_s()
+        )
 
     def _watches_weights(self) -> bool:
         """Whether this router watches the weights in the store itself.
 
         Only those that may soon have to send load orders do.  The others
-        need the versions only to rank engines, and get them from peers
+        need the versions only to choose engines, and get them from peers
         within a second.  Each router reads them once after its start:
         when a whole fleet starts, no peer knows them yet.
         """
-        if not self._is_settled(self._settling):
+        if not self._has_converged(self._convergence):
             return not self._has_read_weights
         is_watcher = self.takeover_rank() < WEIGHTS_WATCHERS
         return self._record_duty("weights", is_watcher)
@@ -268,7 +272,7 @@
         just started, that one measures the lease's age only from its first
         read, and engines wait for orders for that much longer.
         """
-        if not self._is_settled(self._settling):
+        if not self._has_converged(self._convergence):
             return not self._has_read_lease
         is_watcher = self.takeover_rank() < orders.LEASE_WATCHERS
         return self._record_duty("lease", is_watcher)
@@ -286,8 +290,8 @@
             choose_reader=self._choose_reader,
             ask_reader=self._ask_reader,
             clock=clock.now_s,
-            is_membership_known=lambda: self._is_settled(
-                self._upstreams_settling
+            is_membership_known=lambda: self._has_converged(
+                self._upstreams_convergence
             ),
         )
         return [
@@ -344,14 +348,14 @@
         self,
         source: feed.KindFeed,
         kind: str,
-        follower: feeds.FeedCallbacks,
+        callbacks: feeds.FeedCallbacks,
         wait_s: Callable[[], float] | None = None,
         is_wanted: Callable[[], bool] = lambda: True,
     ) -> feeds.FeedController:
         return feeds.FeedController(
             source,
             kind,
-            follower,
+            callbacks,
             timeout_s=self._timeout_s,
             wait_s=wait_s or (lambda: self._wait_s),
             rng=self._rng,
@@ -373,7 +377,7 @@
 
     def _on_upstream_list(self, objects, now_s: float) -> None:
         registry = self._state.registry
-        upstreams = (self._read_upstream(each) for each in objects)
+        upstreams = (self._read_upstream(stored) for stored in objects)
         for upstream, absence in registry.replace(
             filter(None, upstreams), now_s
         ):
--- a/toucanrudder/platform/tests/test_platform.py
+++ b/toucanrudder/platform/tests/test_platform.py
@@ -1041,7 +1041,7 @@
     router = await site.router()
     site.store.put("config", "main", CAPPED)
     await until(lambda: router.state.generation == 4)
-    await until(router.store_watch.is_settled)
+    await until(router.store_watch.has_converged)
     answers = [await asked(router) for _ in range(30)]
     refused = [each for each in answers if each.status == 429]
     assert refused and len(refused) == len(answers) - len(desk.runs)
