--- a/toucanrudder/platform/testing/__init__.py
+++ b/toucanrudder/platform/testing/__init__.py
@@ -1,1 +1,1 @@
-"""The platform as tests and soaks need it."""
+"""Stand-ins for the platform, for tests and soak runs."""
--- a/toucanrudder/platform/testing/soaking.py
+++ b/toucanrudder/platform/testing/soaking.py
@@ -1,4 +1,4 @@
-"""The platform's side of a soak: what callers and upstreams say there."""
+"""The platform's side of a soak run: its requests, answers and upstreams."""
 
 import asyncio
 import os
@@ -13,15 +13,15 @@
 from toucanrudder.soak import oracles
 from toucanrudder.soak import records
 
-ENGINES, DESK, MODEL = "engines", "desk", "m"
-KEYS = {"north": "key-of-north", "south": "key-of-south"}
+ENGINES, PLAIN_SERVICE, MODEL = "engines", "desk", "m"
+API_KEYS = {"north": "key-of-north", "south": "key-of-south"}
 
-#: Organisation that shares no cache.
-ISOLATED = "south"
+#: Organisation that shares no cache with others.
+ISOLATED_ORGANISATION = "south"
 
-#: Pause between two events, and how long an engine takes to load weights.
-GAP_S = 0.03
-LOAD_S = 0.2
+#: Time between two events of a stream, and time to load weights.
+EVENT_GAP_S = 0.03
+LOAD_TIME_S = 0.2
 
 _EVENT = re.compile(rb"id: (\d+)\ndata: (\S+)\n\n")
 
@@ -34,7 +34,7 @@
 }
 
 
-def _route(path: str, kind: str, service: str, **fields) -> dict:
+def _route(path: str, kind: str, service: str, **options) -> dict:
     return {
         "name": path,
         "host": "soak.example",
@@ -45,13 +45,13 @@
         "target_latency_ms": 300,
         "target_gap_ms": 300,
         "max_attempts": 3,
-    } | fields
+    } | options
 
 
 def configuration(generation: int, cache_store: str) -> dict:
-    """Return a document with one more route for each generation."""
-    added = [
-        _route(f"/g{number}/", "safe", DESK)
+    """Return a configuration with one additional route per generation."""
+    extra_routes = [
+        _route(f"/g{number}/", "safe", PLAIN_SERVICE)
         for number in range(1, generation + 1)
     ]
     return {
@@ -59,9 +59,9 @@
         "routes": [
             _route("/once/", "stream", ENGINES),
             _route("/again/", "stream", ENGINES, resumable=True),
-            _route("/read/", "safe", DESK),
-            _route("/write/", "unsafe", DESK),
-            *added,
+            _route("/read/", "safe", PLAIN_SERVICE),
+            _route("/write/", "unsafe", PLAIN_SERVICE),
+            *extra_routes,
         ],
         "services": [
             {
@@ -72,17 +72,21 @@
                     "backups": True,
                 },
             },
-            {"name": DESK},
+            {"name": PLAIN_SERVICE},
             {"name": "kept", "kv_store_addr": cache_store, "zone": "za"},
         ],
         "tenants": [
-            {"name": name, "api_keys": [key], "isolated": name == ISOLATED}
-            for name, key in KEYS.items()
+            {
+                "name": name,
+                "api_keys": [key],
+                "isolated": name == ISOLATED_ORGANISATION,
+            }
+            for name, key in API_KEYS.items()
         ],
     }
 
 
-def request(
+def build_request(
     call: records.Call, organisation: str, part: int
 ) -> tuple[message.RequestHead, bytes]:
     """Return head and body of a caller's request."""
@@ -91,7 +95,7 @@
         "Host": "soak.example",
         "Request-Id": call.request_id,
         "Deadline-Ms": "3000",
-        "Authorization": f"Bearer {KEYS[organisation]}",
+        "Authorization": f"Bearer {API_KEYS[organisation]}",
     }
     method, body = b"GET", b""
     if call.kind.is_stream:
@@ -105,31 +109,33 @@
         is_poison = call.kind is records.Kind.POISON
         body = b"poison" if is_poison else call.request_id.encode()
         headers["Content-Length"] = str(len(body))
-    fields = tuple(
+    header_fields = tuple(
         (name.encode(), text.encode()) for name, text in headers.items()
     )
-    return message.RequestHead(method, path.encode(), fields), body
+    return message.RequestHead(method, path.encode(), header_fields), body
 
 
-def take(call: records.Call, head: message.AnswerHead, body: bytes) -> None:
-    """Note in a call what its answer says."""
+def record_answer(
+    call: records.Call, head: message.AnswerHead, body: bytes
+) -> None:
+    """Record in a call what its answer contains."""
     call.status = head.status
-    answers = head.get(b"request-id")
-    call.is_own = answers in (None, call.request_id.encode())
+    answered_id = head.get(b"request-id")
+    call.is_own = answered_id in (None, call.request_id.encode())
     if head.status != 200:
         return
     if call.kind.is_stream:
-        found = _EVENT.findall(body)
-        call.events = [int(number) for number, _ in found]
-        texts = {text for _, text in found}
+        events = _EVENT.findall(body)
+        call.events = [int(number) for number, _ in events]
+        texts = {text for _, text in events}
     else:
         texts = {body} if call.is_whole else set()
     call.is_own &= texts <= {call.request_id.encode()}
 
 
-def _wall(run: standins.Run) -> str:
+def _cache_owner(run: standins.Run) -> str:
     tenant = run.headers["tenant"]
-    return tenant if tenant == ISOLATED else ""
+    return tenant if tenant == ISOLATED_ORGANISATION else ""
 
 
 def _part_keys(run: standins.Run) -> list[tuple[str, str]]:
@@ -139,67 +145,70 @@
 
 
 @attrs.frozen
-class Part:
-    """A cached part, and what it was made on."""
+class CachedPart:
+    """A cached prompt part: its weights' version, and its isolated owner."""
 
     version: int
-    wall: str
+    owner: str
 
 
 @attrs.define(eq=False)
-class Site:
-    """What the stand-ins of one soak share.
+class SharedState:
+    """State that all stand-ins of one soak run share.
 
     Parameters
     ----------
     record : records.Record
-        What they see.
+        Record of the run.
     caches : dict
-        Parts by address and key, of engines and of the store of parts.
+        Cached parts by address and key, of engines and of the cache store.
     copies : set
-        Runs of which an address holds a copy.
+        Copies as address of the holder and request ID.
     """
 
     record: records.Record
-    caches: dict[str, dict[tuple[str, str], Part]] = attrs.field(factory=dict)
+    caches: dict[str, dict[tuple[str, str], CachedPart]] = attrs.field(
+        factory=dict
+    )
     copies: set[tuple[str, str]] = attrs.field(factory=set)
 
 
 class Upstream(standins.Server):
-    """An upstream that checks how it is asked.
+    """An upstream that checks the requests that it gets.
 
     Parameters
     ----------
-    site : Site
-        What all share.
+    shared : SharedState
+        State shared with all other stand-ins.
     service : str
         `ENGINES` or `DESK`.
     """
 
-    def __init__(self, site: Site, service: str, zone: str):
+    def __init__(self, shared: SharedState, service: str, zone: str):
         model = MODEL if service == ENGINES else ""
         super().__init__(service, model, zone)
-        # Another soak's upstream may get this one's port when it is gone.
+        # Upstreams of concurrent soak runs may reuse each other's ports, so
+        # their names must differ.
         self.incarnation += f"-{os.getpid():x}"
-        self.site = site
-        self.proxy = ""
+        self.shared = shared
+        self.proxy_address = ""
         self.is_poisoned = asyncio.Event()
-        self.usual = well
+        self.default_behaviour = answer_normally
         self._running = 0
 
     def entry(self) -> dict:
-        """Return what it registers: callers come through its proxy."""
-        return super().entry() | {"address": self.proxy}
+        """Return its registry entry, with its proxy's address."""
+        return super().entry() | {"address": self.proxy_address}
 
     def _report(self) -> dict:
         return super()._report() | {"active": self._running}
 
     async def handle(self, request, answer) -> None:
-        """Note the arrival, then answer."""
-        found = request.head.get(b"request-id")
-        if found is not None:
-            self.site.record.arrivals.append(
-                (time.monotonic(), self.service, found.decode())
+        """Record the arrival of a request, then answer it."""
+        request_id = request.head.get(b"request-id")
+        if request_id is not None:
+            self.shared.record.arrivals.append(
+                (time.monotonic(), self.service, request_id.decode())
             )
         await super().handle(request, answer)
 
@@ -215,8 +224,8 @@
         await answer.whole(202, standins.JSON, b"{}")
         while order["mode"] == "block" and self._running:
             await asyncio.sleep(0.01)
-        await asyncio.sleep(LOAD_S)
-        self.site.caches[self.proxy] = {}
+        await asyncio.sleep(LOAD_TIME_S)
+        self.shared.caches[self.proxy_address] = {}
         self.version, self.busy = order["version"], False
 
     async def _run(self, run: standins.Run, answer) -> None:
@@ -229,119 +238,123 @@
         finally:
             self._running -= 1
 
-    def begin(self, run: standins.Run) -> None:
-        """Note that a request begins to run, and how it was asked for."""
-        copy = _copy_named(run)
-        goes_on = copy in self.site.copies
-        self.site.copies.discard(copy)
-        self.site.record.runs.append(
+    def record_run(self, run: standins.Run) -> None:
+        """Record that a request begins to run, and faults of its headers."""
+        source_copy = _named_copy(run)
+        is_continuation = source_copy in self.shared.copies
+        self.shared.copies.discard(source_copy)
+        self.shared.record.runs.append(
             records.Run(
                 run.request_id,
                 self.service,
                 self.incarnation,
                 time.monotonic(),
-                goes_on,
-                tuple(self._faults(run)),
+                is_continuation,
+                tuple(self._request_faults(run)),
             )
         )
 
-    def _faults(self, run: standins.Run):
+    def _request_faults(self, run: standins.Run):
         if "expect-instance" not in run.headers:
             yield "no instance is expected"
-        if run.headers.get("tenant") not in KEYS:
+        if run.headers.get("tenant") not in API_KEYS:
             yield "no organisation"
         if self.model:
             yield from self._cache_faults(run)
 
     def _cache_faults(self, run: standins.Run):
-        """Yield what is wrong with the cache that the run finds."""
-        own = self.site.caches.get(self.proxy, {})
-        source = self.site.caches.get(run.headers.get("kv-fetch-from"), {})
+        """Yield faults of the cached parts that the run would use."""
+        own = self.shared.caches.get(self.proxy_address, {})
+        source = self.shared.caches.get(run.headers.get("kv-fetch-from"), {})
         for key in _part_keys(run):
             part = own.get(key) or source.get(key)
             if part is None:
                 return
             if part.version != self.version:
                 yield "stale cache"
-            if part.wall != _wall(run):
+            if part.owner != _cache_owner(run):
                 yield "cache of another organisation"
 
-    def _read(self, run: standins.Run) -> None:
-        """Keep the parts of a prompt that has been read just now."""
-        made = Part(self.version, _wall(run))
-        kept_at = run.headers.get("kv-save-to", "nowhere")
-        for address in (self.proxy, kept_at):
-            cache = self.site.caches.setdefault(address, {})
+    def _store_parts(self, run: standins.Run) -> None:
+        """Store the parts of a prompt that has just been prefilled."""
+        part = CachedPart(self.version, _cache_owner(run))
+        store_address = run.headers.get("kv-save-to", "nowhere")
+        for address in (self.proxy_address, store_address):
+            cache = self.shared.caches.setdefault(address, {})
             for key in _part_keys(run):
-                # A part stays as it was first made.
-                cache.setdefault(key, made)
+                # A part that is cached already is not replaced.
+                cache.setdefault(key, part)
 
-    def copy(self, run: standins.Run) -> None:
-        """Let another engine hold a copy of the run."""
+    def register_copy(self, run: standins.Run) -> None:
+        """Record that the engine named by the run holds a copy of it."""
         target = run.headers.get("kv-backup")
         if target:
-            self.site.copies.add((target, run.request_id))
+            self.shared.copies.add((target, run.request_id))
 
     async def serve(self, run: standins.Run, answer) -> None:
-        """Answer well."""
-        copy = _copy_named(run)
-        if copy is not None and copy not in self.site.copies:
+        """Run a request without faults."""
+        source_copy = _named_copy(run)
+        if source_copy is not None and source_copy not in self.shared.copies:
             await standins.sheds(self, run, answer)
             return
-        self.begin(run)
+        self.record_run(run)
         if run.body == b"poison":
-            self.site.record.crashes.append(time.monotonic())
+            self.shared.record.crashes.append(time.monotonic())
             self.is_poisoned.set()
             await asyncio.Event().wait()
         if not self.model:
-            await asyncio.sleep(GAP_S)
-            await answer.whole(200, self.fields(run), run.request_id.encode())
+            await asyncio.sleep(EVENT_GAP_S)
+            await answer.whole(
+                200, self.answer_headers(run), run.request_id.encode()
+            )
             return
-        self.copy(run)
-        await asyncio.sleep(GAP_S)
-        self._read(run)
+        self.register_copy(run)
+        await asyncio.sleep(EVENT_GAP_S)
+        self._store_parts(run)
         await self._stream(run, answer)
 
     async def _stream(self, run: standins.Run, answer) -> None:
-        await answer.start(200, self.fields(run))
+        await answer.start(200, self.answer_headers(run))
         first = int(run.headers.get("last-event-id", 0)) + 1
         for number in range(first, oracles.EVENTS + 1):
-            await asyncio.sleep(GAP_S)
+            await asyncio.sleep(EVENT_GAP_S)
             text = f"id: {number}\ndata: {run.request_id}\n\n"
             await answer.write(text.encode())
         await answer.end()
 
 
-def _copy_named(run: standins.Run) -> tuple[str, str] | None:
-    """Return the copy that a request is to go on from, if any."""
-    come_from = run.headers.get("kv-from")
-    if come_from is None:
+def _named_copy(run: standins.Run) -> tuple[str, str] | None:
+    """Return the copy from which a request is to be continued, if any."""
+    source = run.headers.get("kv-from")
+    if source is None:
         return None
-    address, _, identity = come_from.partition("/")
+    address, _, identity = source.partition("/")
     return address, identity
 
 
-async def well(upstream: Upstream, run: standins.Run, answer) -> None:
-    """Answer well."""
+async def answer_normally(
+    upstream: Upstream, run: standins.Run, answer
+) -> None:
+    """Answer without faults."""
     await upstream.serve(run, answer)
 
 
-def _sick(behaviour):
-    async def ran(upstream: Upstream, run: standins.Run, answer) -> None:
-        upstream.begin(run)
+def _record_and(behaviour):
+    async def behave(upstream: Upstream, run: standins.Run, answer) -> None:
+        upstream.record_run(run)
         await behaviour(upstream, run, answer)
 
-    return ran
+    return behave
 
 
-#: What a sick upstream does with some of its requests.
-SICKNESSES = (
+#: What a faulty upstream does with some of its requests.
+FAULTY_BEHAVIOURS = (
     standins.sheds,
-    _sick(standins.resets),
-    _sick(standins.errs),
-    _sick(standins.crosses),
-    _sick(standins.unsealed),
-    _sick(standins.hangs),
+    _record_and(standins.resets),
+    _record_and(standins.answers_500),
+    _record_and(standins.answers_other_request),
+    _record_and(standins.answers_unsealed),
+    _record_and(standins.hangs),
 )
 
 WEIGHTS_KIND = objects.WEIGHTS_KIND
@@ -350,6 +363,6 @@
 DOCUMENT_NAME = objects.CONFIGURATION_NAME
 
 
-def weights(version: int) -> dict:
-    """Return the object that names new weights."""
+def weights_spec(version: int) -> dict:
+    """Return the content of the object with the target weights version."""
     return {"model": MODEL, "version": version}
--- a/toucanrudder/platform/testing/standins.py
+++ b/toucanrudder/platform/testing/standins.py
@@ -1,7 +1,7 @@
-"""Stand-ins of the platform for tests: its store, engines and services.
+"""Stand-ins for the platform's store, engines and services, for tests.
 
-They speak what the platform's pages say, on loopback, and misbehave as
-they are told to.
+They implement the platform's documented protocol on loopback, and produce
+faults on request.
 """
 
 import asyncio
@@ -22,26 +22,26 @@
 
 from toucanrudder.http1 import server
 
-#: Seconds of a run after which its first copy is sent.
+#: Time from the start of a run until its first copy is sent.
 COPY_AFTER_S = 0.4
 
-#: Seconds for events to reach the router before a report does.
+#: Time by which events reach the router before a report does.
 CATCH_UP_S = 0.1
 
-#: Seconds of silence in which the router asks for a report.
-DYING_S = 0.9
+#: Silence in which the router requests a report.
+SILENCE_BEFORE_CLOSE_S = 0.9
 
-#: Seconds of silence after which an answer may be taken for lost.
-SILENT_S = 1.0
+#: Silence after which the router may consider an answer lost.
+SILENCE_S = 1.0
 
-#: Seconds for which an engine works on after a connection was closed.
-NOTICE_S = 0.6
+#: Time for which an engine continues a run after its connection closed.
+RUN_STOP_DELAY_S = 0.6
 
 JSON = ((b"Content-Type", b"application/json"),)
 
 
-class _Stand:
-    """A listener with a handler."""
+class _StandIn:
+    """HTTP server on loopback with one handler."""
 
     def __init__(self):
         self.listener = server.Listener(
@@ -61,7 +61,7 @@
         return self.listener.address
 
     @contextlib.asynccontextmanager
-    async def running(self) -> AsyncIterator["_Stand"]:
+    async def running(self) -> AsyncIterator["_StandIn"]:
         """Serve during the block."""
         await self.listener.start("127.0.0.1", 0)
         try:
@@ -75,23 +75,23 @@
 
 
 @attrs.frozen
-class Copy:
-    """What a store held at one moment."""
+class Backup:
+    """Contents of a store at one revision."""
 
     revision: int
     objects: dict[tuple[str, str], dict]
 
 
-class Store(_Stand):
+class Store(_StandIn):
     """The metadata store.
 
     Attributes
     ----------
-    asked : list of tuple
-        Kind and query of each reading call.
+    read_calls : list of tuple
+        Kind and query of each read call.
     mode : str
-        ``well``, ``busy`` (503, nothing done), ``silent`` (no answer),
-        ``lost`` (writes are done and not answered).
+        ``well``, ``busy`` (503 without effect), ``silent`` (no answer) or
+        ``lost`` (writes take effect without an answer).
     """
 
     def __init__(self):
@@ -101,13 +101,13 @@
         self.era = 1
         self.oldest_revision = 0
         self.calls = 0
-        self.asked: list[tuple[str, dict]] = []
+        self.read_calls: list[tuple[str, dict]] = []
         self._objects: dict[tuple[str, str], dict] = {}
         self._log: list[tuple[int, str, dict, bool]] = []
         self._changed = asyncio.Event()
 
     def put(self, kind: str, name: str, spec: dict) -> int:
-        """Write an object as the platform itself does."""
+        """Write an object without a call, as the platform does."""
         self.revision += 1
         item = {
             "metadata": {"name": name, "revision": self.revision},
@@ -115,47 +115,49 @@
             "status": None,
         }
         self._objects[kind, name] = item
-        self._note(kind, item, False)
+        self._record_change(kind, item, False)
         return self.revision
 
     def delete(self, kind: str, name: str) -> None:
         """Remove an object."""
         self.revision += 1
         item = self._objects.pop((kind, name))
-        self._note(kind, item, True)
+        self._record_change(kind, item, True)
 
     def get(self, kind: str, name: str) -> dict | None:
         """Return an object's content."""
         item = self._objects.get((kind, name))
         return item["spec"] if item else None
 
-    def become(self, mode: str) -> None:
-        """Change the mode; watches that wait end."""
+    def set_mode(self, mode: str) -> None:
+        """Change the mode and wake all watches."""
         self.mode = mode
-        self._wake()
+        self._wake_watches()
 
     def forget_history(self) -> None:
-        """Let watches from before now fail."""
+        """Discard the history, so that watches from before now fail."""
         self.oldest_revision = self.revision + 1
-        self._wake()
+        self._wake_watches()
 
-    def copy(self) -> Copy:
-        """Return what it holds now."""
-        return Copy(self.revision, dict(self._objects))
+    def back_up(self) -> Backup:
+        """Return the current contents."""
+        return Backup(self.revision, dict(self._objects))
 
-    def go_back(self, copy: Copy) -> None:
-        """Lose all that came after a copy, and give revisions out again."""
+    def restore(self, backup: Backup) -> None:
+        """Restore a backup; later revision numbers are issued again."""
         self.era += 1
-        self.revision = copy.revision
-        self._objects = dict(copy.objects)
-        self._log = [each for each in self._log if each[0] <= copy.revision]
-        self._wake()
+        self.revision = backup.revision
+        self._objects = dict(backup.objects)
+        self._log = [
+            entry for entry in self._log if entry[0] <= backup.revision
+        ]
+        self._wake_watches()
 
-    def _note(self, kind: str, item: dict, deleted: bool) -> None:
+    def _record_change(self, kind: str, item: dict, deleted: bool) -> None:
         self._log.append((self.revision, kind, item, deleted))
-        self._wake()
+        self._wake_watches()
 
-    def _wake(self) -> None:
+    def _wake_watches(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -165,14 +167,14 @@
         if self.mode == "silent":
             await asyncio.Event().wait()
         if self.mode == "busy":
-            await answer.whole(503, self._fields(), b"{}")
+            await answer.whole(503, self._headers(), b"{}")
             return
         target = urllib.parse.urlsplit(request.head.target.decode())
         query = dict(urllib.parse.parse_qsl(target.query))
         _, _, kind, *rest = target.path.split("/")
         name = rest[0] if rest else None
         if request.head.method == b"GET":
-            self.asked.append((kind, query))
+            self.read_calls.append((kind, query))
             status, body = await self._read(kind, name, query)
         else:
             content = orjson.loads(request.body or b"{}")
@@ -183,9 +185,9 @@
                 answer.abort()
                 answer.ended = True
                 return
-        await answer.whole(status, self._fields(), orjson.dumps(body))
+        await answer.whole(status, self._headers(), orjson.dumps(body))
 
-    def _fields(self) -> tuple[tuple[bytes, bytes], ...]:
+    def _headers(self) -> tuple[tuple[bytes, bytes], ...]:
         return (*JSON, (b"Store-Era", str(self.era).encode()))
 
     async def _read(self, kind, name, query) -> tuple[int, dict]:
@@ -241,7 +243,7 @@
 
 @attrs.frozen
 class Run:
-    """A request that an upstream has begun to run."""
+    """A request that an upstream runs."""
 
     request_id: str
     headers: dict[str, str]
@@ -250,39 +252,40 @@
 
 
 Behaviour = Callable[["Server", "Run", server.Answer], Awaitable[None]]
-Question = Callable[["Server", server.Answer], Awaitable[None]]
+ReportBehaviour = Callable[["Server", server.Answer], Awaitable[None]]
 
 
-class Server(_Stand):
+class Server(_StandIn):
     """An upstream: an engine if it has a model, else a plain service.
 
     Attributes
     ----------
     behaviours : list
-        What it does with the next requests; then `usual`.
-    usual : callable
-        What it does with all others.
-    listed : dict of str to int
-        Events made of the requests that its report lists as running.
+        Behaviours for the next requests, one each.
+    default_behaviour : callable
+        Behaviour for all other requests.
+    reported_runs : dict of str to int
+        Requests that its report lists as running, with the number of
+        events produced.
     copies : set of str
-        Requests of which it holds a copy of another's run.
+        Requests of which it holds a copy of another engine's run.
     born : int
-        What it says of its start; 0 for nothing.
-    resets_runs : asyncio.Event
-        Lets runs end that wait for it.
+        Start time that it reports; 0 for none.
+    reset_runs : asyncio.Event
+        Ends the runs that wait for it.
     before_report : list
-        What it does with the next questions for its report, before it
-        answers those that are still open.
+        Behaviours for the next requests for its report, run before the
+        report is sent.
     """
 
-    _numbers = itertools.count(1)
+    _instance_numbers = itertools.count(1)
     _by_address: ClassVar[weakref.WeakValueDictionary] = (
         weakref.WeakValueDictionary()
     )
 
     def __init__(self, service: str, model: str = "", zone: str = "za"):
         super().__init__()
-        self.incarnation = f"i-{next(self._numbers):08x}"
+        self.incarnation = f"i-{next(self._instance_numbers):08x}"
         self.born = 0
         self.service = service
         self.zone = zone
@@ -293,13 +296,13 @@
         self.busy = False
         self.behaviours: list[Behaviour] = []
         self.runs: list[Run] = []
-        self.cut = asyncio.Event()
-        self.usual: Behaviour = answers
-        self.listed: dict[str, int] = {}
+        self.run_cancelled = asyncio.Event()
+        self.default_behaviour: Behaviour = answers_normally
+        self.reported_runs: dict[str, int] = {}
         self.copies: set[str] = set()
-        self.reported = asyncio.Event()
-        self.resets_runs = asyncio.Event()
-        self.before_report: list[Question] = []
+        self.report_requested = asyncio.Event()
+        self.reset_runs = asyncio.Event()
+        self.before_report: list[ReportBehaviour] = []
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator["Server"]:
@@ -309,13 +312,13 @@
             yield self
 
     def send_copy(self, run: "Run") -> None:
-        """Let the engine that the run names hold a copy of it."""
+        """Send a copy of the run to the engine that its headers name."""
         holder = self._by_address.get(run.headers.get("kv-backup"))
         if holder is not None:
             holder.copies.add(run.request_id)
 
     def entry(self) -> dict:
-        """Return what it registers."""
+        """Return its registry entry."""
         models = [{"name": self.model, "version": self.version}]
         return {
             "service": self.service,
@@ -325,22 +328,22 @@
             "state": self.state,
             "models": models if self.model else [],
             "seq": 1,
-            **self._birth(),
+            **self._born_field(),
         }
 
-    def _birth(self) -> dict:
+    def _born_field(self) -> dict:
         return {"born": self.born} if self.born else {}
 
-    def start_again(self) -> None:
-        """Be a new process under the same name, which knows nothing."""
+    def restart(self) -> None:
+        """Simulate a restart: same name, later start time, no state."""
         self.born = self.born + 1_000 if self.born else 1_700_000_000_000
         self.orders.clear()
-        self.listed.clear()
+        self.reported_runs.clear()
         self.copies.clear()
         self.state, self.busy = "ready", False
 
     async def handle(self, request, answer) -> None:
-        """Answer a request of a router."""
+        """Answer one request of a router."""
         headers = {
             name.decode().lower(): value.decode()
             for name, value in request.head.headers
@@ -351,16 +354,18 @@
         if path == b"/kv-events":
             await self._events(answer)
         elif expected != self.incarnation or version != str(self.version):
-            fields = [(b"Instance-Id", self.incarnation.encode())]
+            mismatch_headers = [(b"Instance-Id", self.incarnation.encode())]
             if "request-id" in headers:
-                fields.append((b"Request-Id", headers["request-id"].encode()))
-            await answer.whole(421, tuple(fields), b"")
+                mismatch_headers.append(
+                    (b"Request-Id", headers["request-id"].encode())
+                )
+            await answer.whole(421, tuple(mismatch_headers), b"")
         elif path == b"/report":
             if self.before_report:
                 await self.before_report.pop(0)(self, answer)
             if answer.ended:
                 return
-            self.reported.set()
+            self.report_requested.set()
             await answer.whole(200, JSON, orjson.dumps(self._report()))
         elif path == b"/order":
             await self._order(orjson.loads(request.body), answer)
@@ -380,7 +385,7 @@
             "next": 0,
             "lost": False,
             "events": [],
-            **self._birth(),
+            **self._born_field(),
         }
         await answer.whole(200, JSON, orjson.dumps(body))
 
@@ -389,18 +394,18 @@
             "models": [{"name": self.model, "version": self.version}],
             "busy": self.busy,
             "seq": len(self.orders),
-            **self._birth(),
+            **self._born_field(),
             "queued": 0,
-            "active": len(self.listed),
+            "active": len(self.reported_runs),
             "runs": [
                 [identity, 300, events, 5]
-                for identity, events in self.listed.items()
+                for identity, events in self.reported_runs.items()
             ],
         }
 
     def is_fenced(self, order: dict) -> bool:
-        """Whether a higher fencing number has been seen."""
-        return any(order["fence"] < each["fence"] for each in self.orders)
+        """Return whether a higher fencing number has been seen."""
+        return any(order["fence"] < past["fence"] for past in self.orders)
 
     async def _order(self, order: dict, answer) -> None:
         if self.is_fenced(order):
@@ -411,15 +416,19 @@
         await answer.whole(202, JSON, b"{}")
 
     async def _run(self, run: Run, answer) -> None:
-        behaviour = self.behaviours.pop(0) if self.behaviours else self.usual
+        behaviour = (
+            self.behaviours.pop(0)
+            if self.behaviours
+            else self.default_behaviour
+        )
         try:
             await behaviour(self, run, answer)
         except asyncio.CancelledError:
-            self.cut.set()
+            self.run_cancelled.set()
             raise
 
-    def fields(self, run: Run) -> tuple:
-        """Return the fields of an answer of its own."""
+    def answer_headers(self, run: Run) -> tuple:
+        """Return the headers of a genuine answer to the run."""
         return (
             (b"Request-Id", run.request_id.encode()),
             (b"Server-Seal", self.incarnation.encode()),
@@ -429,14 +438,14 @@
 
 @attrs.frozen
 class RawRequest:
-    """A request as a raw upstream read it.
+    """A request that a `RawServer` received.
 
     Parameters
     ----------
     request_id : str
-        Its identity.
+        Its ID.
     before : tuple of str
-        Identities of the requests before it on its connection.
+        IDs of the earlier requests on its connection.
     """
 
     request_id: str
@@ -444,21 +453,22 @@
 
 
 class RawServer(Server):
-    """A service that answers with bytes as a test writes them.
+    """A service that answers with bytes that a test provides.
 
     Parameters
     ----------
     service : str
-        Which one.
+        Name of the service.
     answer : callable
-        Called with this upstream and each `RawRequest`; returns bytes.
+        Called with this server and each `RawRequest`; returns the bytes of
+        the answer.
 
     Attributes
     ----------
-    ran : list of str
-        Identities of the requests that `answer` says it ran.
+    executed : list of str
+        IDs of the requests that `answer` recorded as run.
     connections : list of socket.socket
-        All that were accepted, for bytes at moments of a test's own.
+        All accepted connections, for tests that send bytes on their own.
     """
 
     def __init__(
@@ -467,7 +477,7 @@
         answer: Callable[["RawServer", RawRequest], bytes],
     ):
         super().__init__(service)
-        self.ran: list[str] = []
+        self.executed: list[str] = []
         self.connections: list[socket.socket] = []
         self._answer = answer
         self._address = ""
@@ -494,37 +504,39 @@
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
-                found = re.search(rb"(?im)^request-id: *(\S+)", head)
-                request = RawRequest(found[1].decode(), before)
+                match = re.search(rb"(?im)^request-id: *(\S+)", head)
+                request = RawRequest(match[1].decode(), before)
                 before = (*before, request.request_id)
                 writer.write(self._answer(self, request))
                 await writer.drain()
         writer.close()
 
 
-def raw_answer(status: int, *fields: str, body: str = "") -> bytes:
-    """Return a whole answer as bytes."""
+def raw_answer(status: int, *headers: str, body: str = "") -> bytes:
+    """Return a complete answer as bytes."""
     lines = [
         f"HTTP/1.1 {status} Said",
         f"Content-Length: {len(body)}",
-        *fields,
+        *headers,
     ]
     return "\r\n".join([*lines, "", body]).encode()
 
 
-async def answers(upstream: Server, run: Run, answer) -> None:
-    """Answer with the body that came, or with three events.
+async def answers_normally(upstream: Server, run: Run, answer) -> None:
+    """Answer with the request's body, or with three events if an engine.
 
-    Without the copy from which a run is to go on, nothing runs.
+    A request to continue a copy that the engine does not hold is refused.
     """
     if "kv-from" in run.headers and run.request_id not in upstream.copies:
         await sheds(upstream, run, answer)
         return
     upstream.runs.append(run)
     if not upstream.model:
-        await answer.whole(200, upstream.fields(run), run.body or b"done")
+        await answer.whole(
+            200, upstream.answer_headers(run), run.body or b"done"
+        )
         return
-    await answer.start(200, upstream.fields(run))
+    await answer.start(200, upstream.answer_headers(run))
     first = int(run.headers.get("last-event-id", 0)) + 1
     for number in range(first, 4):
         await answer.write(event(number))
@@ -536,47 +548,49 @@
     return f"id: {number}\ndata: token {number}\n\n".encode()
 
 
-#: An event that names no point to go on from.
-UNNAMED = b"data: token\n\n"
+#: An event without an ID, after which a stream cannot be resumed.
+EVENT_WITHOUT_ID = b"data: token\n\n"
 
 
 async def sheds(upstream: Server, run: Run, answer) -> None:
-    """Refuse, and prove that nothing ran."""
-    fields = (
+    """Refuse the request with proof that it has not run."""
+    headers = (
         (b"Not-Executed", b"1"),
         (b"Request-Id", run.request_id.encode()),
     )
-    await answer.whole(503, fields, b"")
+    await answer.whole(503, headers, b"")
 
 
-async def is_elsewhere(upstream: Server, run: Run, answer) -> None:
-    """Say that another process has the address now."""
+async def answers_as_other_instance(
+    upstream: Server, run: Run, answer
+) -> None:
+    """Answer that another instance has the address."""
     await answer.whole(421, (), b"")
 
 
 async def has_other_weights(upstream: Server, run: Run, answer) -> None:
-    """Say that the weights are not those that were expected."""
-    fields = ((b"Instance-Id", upstream.incarnation.encode()),)
-    await answer.whole(421, fields, b"")
+    """Answer that the expected weights are not loaded."""
+    headers = ((b"Instance-Id", upstream.incarnation.encode()),)
+    await answer.whole(421, headers, b"")
 
 
 async def resets(upstream: Server, run: Run, answer) -> None:
-    """Run the request and lose the answer."""
+    """Run the request and reset the connection without an answer."""
     upstream.runs.append(run)
     answer.abort()
     answer.ended = True
 
 
-async def errs(upstream: Server, run: Run, answer) -> None:
-    """Run the request and answer with a failure of its own."""
+async def answers_500(upstream: Server, run: Run, answer) -> None:
+    """Run the request and answer with a genuine status 500."""
     upstream.runs.append(run)
-    await answer.whole(500, upstream.fields(run), b"failed")
+    await answer.whole(500, upstream.answer_headers(run), b"failed")
 
 
 async def claims_not_run(upstream: Server, run: Run, answer) -> None:
-    """Run the request and answer with a status that denies it, unproved."""
+    """Run the request and answer 429 without Not-Executed."""
     upstream.runs.append(run)
-    await answer.whole(429, upstream.fields(run), b"too many")
+    await answer.whole(429, upstream.answer_headers(run), b"too many")
 
 
 async def hangs(upstream: Server, run: Run, answer) -> None:
@@ -585,38 +599,38 @@
     await asyncio.Event().wait()
 
 
-async def crosses(upstream: Server, run: Run, answer) -> None:
-    """Give the answer to another request, of an engine with newer weights."""
+async def answers_other_request(upstream: Server, run: Run, answer) -> None:
+    """Run the request, but send another request's answer and newer weights."""
     upstream.runs.append(run)
-    fields = (
+    headers = (
         (b"Request-Id", b"another"),
         (b"Server-Seal", b"s"),
         (b"Weight-Versions", b"9"),
     )
-    await answer.whole(200, fields, b"not yours")
+    await answer.whole(200, headers, b"not yours")
 
 
-async def unsealed(upstream: Server, run: Run, answer) -> None:
-    """Answer with what the upstream does not vouch for."""
+async def answers_unsealed(upstream: Server, run: Run, answer) -> None:
+    """Run the request and answer without Server-Seal."""
     upstream.runs.append(run)
-    fields = ((b"Request-Id", run.request_id.encode()),)
-    await answer.whole(200, fields, b"rubbish")
+    headers = ((b"Request-Id", run.request_id.encode()),)
+    await answer.whole(200, headers, b"rubbish")
 
 
-async def breaks_off(upstream: Server, run: Run, answer) -> None:
-    """Stop in the middle of the second event."""
+async def breaks_mid_event(upstream: Server, run: Run, answer) -> None:
+    """Reset the connection in the middle of the second event."""
     upstream.runs.append(run)
-    await answer.start(200, upstream.fields(run))
+    await answer.start(200, upstream.answer_headers(run))
     await answer.write(event(1))
     await answer.write(event(2)[:9])
     answer.abort()
     answer.ended = True
 
 
-async def breaks_off_copied(upstream: Server, run: Run, answer) -> None:
-    """Stop in the middle of the second event, long after the first one."""
+async def breaks_after_copy(upstream: Server, run: Run, answer) -> None:
+    """Reset in the middle of the second event, after a copy was sent."""
     upstream.runs.append(run)
-    await answer.start(200, upstream.fields(run))
+    await answer.start(200, upstream.answer_headers(run))
     await answer.write(event(1))
     await asyncio.sleep(COPY_AFTER_S)
     upstream.send_copy(run)
@@ -626,103 +640,103 @@
 
 
 async def hangs_until_reset(upstream: Server, run: Run, answer) -> None:
-    """Be silent after the first event until the connection is reset."""
+    """Send the first event and a copy, then reset on `reset_runs`."""
     upstream.runs.append(run)
-    await answer.start(200, upstream.fields(run))
+    await answer.start(200, upstream.answer_headers(run))
     await answer.write(event(1))
     upstream.send_copy(run)
-    upstream.listed[run.request_id] = 1
-    await upstream.resets_runs.wait()
-    del upstream.listed[run.request_id]
+    upstream.reported_runs[run.request_id] = 1
+    await upstream.reset_runs.wait()
+    del upstream.reported_runs[run.request_id]
     answer.abort()
     answer.ended = True
 
 
-async def dies_silently_copied(upstream: Server, run: Run, answer) -> None:
-    """Be silent after the first event, then end with all connections."""
+async def closes_after_silence(upstream: Server, run: Run, answer) -> None:
+    """Send the first event and a copy, then reset after a silence."""
     upstream.runs.append(run)
-    await answer.start(200, upstream.fields(run))
+    await answer.start(200, upstream.answer_headers(run))
     await answer.write(event(1))
     upstream.send_copy(run)
-    await asyncio.sleep(DYING_S)
+    await asyncio.sleep(SILENCE_BEFORE_CLOSE_S)
     answer.abort()
     answer.ended = True
 
 
-async def hangs_copied(upstream: Server, run: Run, answer) -> None:
-    """Be silent for good after the first event, whatever becomes of it."""
+async def hangs_after_copy(upstream: Server, run: Run, answer) -> None:
+    """Send the first event and a copy, then nothing more."""
     upstream.runs.append(run)
-    await answer.start(200, upstream.fields(run))
+    await answer.start(200, upstream.answer_headers(run))
     await answer.write(event(1))
     upstream.send_copy(run)
     await asyncio.Event().wait()
 
 
-async def notices_late(upstream: Server, run: Run, answer) -> None:
-    """Lose events after the first, and work on when the router closes."""
+async def stops_run_late(upstream: Server, run: Run, answer) -> None:
+    """Lose events after the first; end the run some time after the close."""
     upstream.runs.append(run)
-    await answer.start(200, upstream.fields(run))
+    await answer.start(200, upstream.answer_headers(run))
     await answer.write(event(1))
     upstream.send_copy(run)
-    upstream.listed[run.request_id] = 9
+    upstream.reported_runs[run.request_id] = 9
     try:
         await asyncio.Event().wait()
     finally:
         asyncio.get_running_loop().call_later(
-            NOTICE_S, upstream.listed.pop, run.request_id
+            RUN_STOP_DELAY_S, upstream.reported_runs.pop, run.request_id
         )
 
 
-async def never_notices(upstream: Server, run: Run, answer) -> None:
-    """Lose events after the first, and work on after the router closes."""
+async def never_stops_run(upstream: Server, run: Run, answer) -> None:
+    """Lose events after the first; list the run even after the close."""
     upstream.runs.append(run)
-    await answer.start(200, upstream.fields(run))
+    await answer.start(200, upstream.answer_headers(run))
     await answer.write(event(1))
     upstream.send_copy(run)
-    upstream.listed[run.request_id] = 9
+    upstream.reported_runs[run.request_id] = 9
     await asyncio.Event().wait()
 
 
-async def begins_late(upstream: Server, run: Run, answer) -> None:
-    """Answer after long work that no report lists."""
-    await asyncio.sleep(SILENT_S)
-    await answers(upstream, run, answer)
+async def starts_late(upstream: Server, run: Run, answer) -> None:
+    """Answer after a silence in which no report lists the run."""
+    await asyncio.sleep(SILENCE_S)
+    await answers_normally(upstream, run, answer)
 
 
-async def loses_first_events(upstream: Server, run: Run, answer) -> None:
-    """Let events wait on the way that a report counts already."""
-    upstream.listed[run.request_id] = 3
-    await asyncio.sleep(SILENT_S)
-    del upstream.listed[run.request_id]
-    await answers(upstream, run, answer)
+async def delays_first_events(upstream: Server, run: Run, answer) -> None:
+    """Answer after a silence in which a report already counts events."""
+    upstream.reported_runs[run.request_id] = 3
+    await asyncio.sleep(SILENCE_S)
+    del upstream.reported_runs[run.request_id]
+    await answers_normally(upstream, run, answer)
 
 
-async def pauses_unnamed(upstream: Server, run: Run, answer) -> None:
-    """Pause unlisted between events that name no point to go on from."""
+async def pauses_without_ids(upstream: Server, run: Run, answer) -> None:
+    """Pause between events without IDs, while no report lists the run."""
     upstream.runs.append(run)
-    await answer.start(200, upstream.fields(run))
-    await answer.write(UNNAMED)
+    await answer.start(200, upstream.answer_headers(run))
+    await answer.write(EVENT_WITHOUT_ID)
     upstream.send_copy(run)
-    await asyncio.sleep(SILENT_S)
-    await answer.write(UNNAMED)
+    await asyncio.sleep(SILENCE_S)
+    await answer.write(EVENT_WITHOUT_ID)
     await answer.end()
 
 
-async def stalls(upstream: Server, run: Run, answer) -> None:
-    """Be silent after the first event until it was asked for its report."""
+async def stalls_until_report(upstream: Server, run: Run, answer) -> None:
+    """Send the first event, and the rest once a report was requested."""
     upstream.runs.append(run)
-    await answer.start(200, upstream.fields(run))
+    await answer.start(200, upstream.answer_headers(run))
     await answer.write(event(1))
-    upstream.listed[run.request_id] = 1
-    await upstream.reported.wait()
+    upstream.reported_runs[run.request_id] = 1
+    await upstream.report_requested.wait()
     for number in (2, 3):
         await answer.write(event(number))
-    del upstream.listed[run.request_id]
+    del upstream.reported_runs[run.request_id]
     await answer.end()
 
 
-def sends_ahead(content: bytes) -> Question:
-    """Send what belongs to no question, then answer."""
+def sends_before_report(content: bytes) -> ReportBehaviour:
+    """Return a behaviour that sends bytes ahead of the report's answer."""
 
     async def send(upstream: Server, answer) -> None:
         answer._connection._transport.write(content)
@@ -730,31 +744,31 @@
     return send
 
 
-async def resets_question(upstream: Server, answer) -> None:
-    """Reset the connection, as an engine under pressure does."""
+async def resets_report_call(upstream: Server, answer) -> None:
+    """Reset the report call's connection, as an overloaded engine does."""
     answer.abort()
     answer.ended = True
 
 
-async def ignores_question(upstream: Server, answer) -> None:
-    """Leave a question for the report without an answer."""
+async def ignores_report_call(upstream: Server, answer) -> None:
+    """Never answer the request for the report."""
     await asyncio.Event().wait()
 
 
-async def lets_runs_go_on(upstream: Server, answer) -> None:
-    """Make events between a question for the report and its answer."""
-    upstream.reported.set()
+async def streams_before_report(upstream: Server, answer) -> None:
+    """Let a run produce events between a report call and its answer."""
+    upstream.report_requested.set()
     await asyncio.sleep(CATCH_UP_S)
 
 
 async def stalls_then_catches_up(upstream: Server, run: Run, answer) -> None:
-    """Be silent after the first event, then make several at once."""
+    """Send the first event, and two at once after a report request."""
     upstream.runs.append(run)
-    await answer.start(200, upstream.fields(run))
+    await answer.start(200, upstream.answer_headers(run))
     await answer.write(event(1))
-    await upstream.reported.wait()
+    await upstream.report_requested.wait()
     await answer.write(event(2) + event(3))
-    upstream.listed[run.request_id] = 3
+    upstream.reported_runs[run.request_id] = 3
     await asyncio.sleep(2 * CATCH_UP_S)
-    del upstream.listed[run.request_id]
+    del upstream.reported_runs[run.request_id]
     await answer.end()
--- a/toucanrudder/platform/tests/test_platform.py
+++ b/toucanrudder/platform/tests/test_platform.py
@@ -325,15 +325,15 @@
 ENDS = {
     "shed, once": (b"/w/x", standins.sheds, 200, 1),
     "lost, once": (b"/w/x", standins.resets, 502, 1),
-    "crossed, once": (b"/w/x", standins.crosses, 502, 1),
-    "unsealed, once": (b"/w/x", standins.unsealed, 502, 1),
-    "failed, once": (b"/w/x", standins.errs, 500, 1),
+    "crossed, once": (b"/w/x", standins.answers_other_request, 502, 1),
+    "unsealed, once": (b"/w/x", standins.answers_unsealed, 502, 1),
+    "failed, once": (b"/w/x", standins.answers_500, 500, 1),
     "denied, once": (b"/w/x", standins.claims_not_run, 502, 1),
     "silent, once": (b"/w/x", standins.hangs, 504, 1),
     "lost, repeatable": (b"/r/x", standins.resets, 200, 2),
-    "crossed, repeatable": (b"/r/x", standins.crosses, 200, 2),
-    "unsealed, repeatable": (b"/r/x", standins.unsealed, 200, 2),
-    "failed, repeatable": (b"/r/x", standins.errs, 200, 2),
+    "crossed, repeatable": (b"/r/x", standins.answers_other_request, 200, 2),
+    "unsealed, repeatable": (b"/r/x", standins.answers_unsealed, 200, 2),
+    "failed, repeatable": (b"/r/x", standins.answers_500, 200, 2),
     "denied, repeatable": (b"/r/x", standins.claims_not_run, 200, 2),
     "silent, repeatable": (b"/r/x", standins.hangs, 200, 2),
 }
@@ -364,7 +364,7 @@
 
 
 def runs_whole(upstream, request):
-    upstream.ran.append(request.request_id)
+    upstream.executed.append(request.request_id)
     return standins.raw_answer(
         200, named(request.request_id), "Server-Seal: s", body="done"
     )
@@ -384,7 +384,7 @@
     router = await site.router()
     found = await asked(router, b"/w/x")
     assert found.status == 200
-    assert len(desk.ran) == 1
+    assert len(desk.executed) == 1
     assert len(desk.connections) == 2
 
 
@@ -447,7 +447,7 @@
     if is_early:
         before_the_next_request(monkeypatch, router, desk, late)
     assert (await asked(router, b"/w/x")).status == 502
-    assert len(desk.ran) == 2
+    assert len(desk.executed) == 2
     assert len(desk.connections) == 1
 
 
@@ -461,7 +461,7 @@
     desk = await site.raw(answer)
     router = await site.router()
     assert (await asked(router, b"/w/x")).status == 200
-    assert len(desk.ran) == 1
+    assert len(desk.executed) == 1
 
 
 NOT_EXECUTED, SEALED = "Not-Executed: 1", "Server-Seal: s"
@@ -484,7 +484,7 @@
     """Run each request and give all of them this answer."""
 
     def answer(upstream, request):
-        upstream.ran.append(request.request_id)
+        upstream.executed.append(request.request_id)
         return standins.raw_answer(status, named(request.request_id), *fields)
 
     return answer
@@ -502,7 +502,7 @@
     desk = await site.raw(runs_saying(status, *fields))
     router = await site.router()
     assert (await asked(router, b"/w/x")).status == told
-    assert len(desk.ran) == 1
+    assert len(desk.executed) == 1
 
 
 REFUSALS = {
@@ -528,7 +528,7 @@
     servers = {await site.raw(answer), await site.raw(answer)}
     router = await site.router()
     assert (await asked(router, b"/w/x")).status == 200
-    assert sorted(len(each.ran) for each in servers) == [0, 1]
+    assert sorted(len(each.executed) for each in servers) == [0, 1]
     assert all(len(each.connections) == 1 for each in servers)
 
 
@@ -536,7 +536,7 @@
     # An engine crashes in the middle of an event.  The caller gets the
     # rest from another one, no event twice and none joined of two halves.
     engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.breaks_off)
+    first_tried_does(engines, standins.breaks_mid_event)
     router = await site.router()
     answer = await asked(router, b"/s/x")
     assert answer.is_whole
@@ -552,7 +552,7 @@
     # A stream that may run once breaks off and no copy of it exists: the
     # caller must see that it is not whole.
     engine = await site.engine()
-    engine.behaviours.append(standins.breaks_off)
+    engine.behaviours.append(standins.breaks_mid_event)
     router = await site.router()
     answer = await asked(router, b"/once/x")
     assert not answer.is_whole
@@ -564,7 +564,7 @@
     # A stream that may run once breaks off at one engine while another
     # holds a copy of its memory: it is the same run that goes on there.
     engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.breaks_off_copied)
+    first_tried_does(engines, standins.breaks_after_copy)
     router = await site.router()
     answer = await asked(router, b"/once/x")
     assert answer.is_whole
@@ -580,7 +580,7 @@
 async def test_a_silent_run_goes_on_from_its_copy(site):
     # The rest of a stream is lost without a reset, and it may run once.
     engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.hangs_copied)
+    first_tried_does(engines, standins.hangs_after_copy)
     router = await site.router()
     answer = await asked(router, b"/once/x")
     assert answer.is_whole
@@ -588,12 +588,16 @@
     runs = [run for each in engines for run in each.runs]
     assert sorted("kv-from" in run.headers for run in runs) == [False, True]
     await asyncio.wait_for(
-        next(each.cut for each in engines if each.cut.is_set()).wait(),
+        next(
+            each.run_cancelled
+            for each in engines
+            if each.run_cancelled.is_set()
+        ).wait(),
         DEADLINE_S,
     )
 
 
-@pytest.mark.parametrize("first", ["resets", "breaks_off", "hangs"])
+@pytest.mark.parametrize("first", ["resets", "breaks_mid_event", "hangs"])
 async def test_a_run_without_a_copy_is_continued_nowhere(site, first):
     # Engines that lose their answers run what they are asked to go on with.
     engines = [await site.engine(), await site.engine()]
@@ -611,18 +615,18 @@
     # and is silent for longer than a lost answer would show.  Cut and sent
     # to the engine with its copy, which has dropped it, it would be lost.
     engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.stalls)
+    first_tried_does(engines, standins.stalls_until_report)
     router = await site.router()
     answer = await asked(router, b"/once/x")
     assert (answer.is_whole, answer.body) == (True, EVENTS)
     assert sum(len(each.runs) for each in engines) == 1
-    assert any(each.reported.is_set() for each in engines)
+    assert any(each.report_requested.is_set() for each in engines)
 
 
 WAITED_FOR = {
-    "begins_late": EVENTS,
-    "loses_first_events": EVENTS,
-    "pauses_unnamed": 2 * standins.UNNAMED,
+    "starts_late": EVENTS,
+    "delays_first_events": EVENTS,
+    "pauses_without_ids": 2 * standins.EVENT_WITHOUT_ID,
 }
 
 
@@ -637,13 +641,15 @@
     assert sum(len(each.runs) for each in engines) == 1
 
 
-@pytest.mark.parametrize("unanswered", ["resets_question", "ignores_question"])
+@pytest.mark.parametrize(
+    "unanswered", ["resets_report_call", "ignores_report_call"]
+)
 async def test_a_run_whose_engine_gives_no_report_is_waited_for(
     site, unanswered
 ):
     # An engine under pressure answers no question for its report.
     engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.stalls)
+    first_tried_does(engines, standins.stalls_until_report)
     for each in engines:
         each.before_report = [getattr(standins, unanswered)]
     router = await site.router()
@@ -657,9 +663,9 @@
     routes = [each | {"target_gap_ms": 0} for each in CONFIGURATION["routes"]]
     site.store.put("config", "main", CONFIGURATION | {"routes": routes})
     engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.dies_silently_copied)
+    first_tried_does(engines, standins.closes_after_silence)
     for each in engines:
-        each.before_report = [standins.resets_question] * 99
+        each.before_report = [standins.resets_report_call] * 99
     router = await site.router()
     answer = await asked(router, b"/once/x")
     assert (answer.is_whole, answer.body) == (True, EVENTS)
@@ -669,9 +675,9 @@
 async def test_a_run_goes_on_elsewhere_once_its_connection_breaks(site):
     # An engine that gives no report dies some time later.
     engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.dies_silently_copied)
+    first_tried_does(engines, standins.closes_after_silence)
     for each in engines:
-        each.before_report = [standins.resets_question] * 9
+        each.before_report = [standins.resets_report_call] * 9
     router = await site.router()
     answer = await asked(router, b"/once/x")
     assert (answer.is_whole, answer.body) == (True, EVENTS)
@@ -684,7 +690,7 @@
     engines = [await site.engine(), await site.engine()]
     first_tried_does(engines, standins.stalls_then_catches_up)
     for each in engines:
-        each.before_report = [standins.lets_runs_go_on]
+        each.before_report = [standins.streams_before_report]
     router = await site.router()
     answer = await asked(router, b"/once/x")
     assert (answer.is_whole, answer.body) == (True, EVENTS)
@@ -698,10 +704,10 @@
     listed = []
 
     async def goes_on(engine, run, answer):
-        listed.extend(name for each in engines for name in each.listed)
-        await standins.answers(engine, run, answer)
+        listed.extend(name for each in engines for name in each.reported_runs)
+        await standins.answers_normally(engine, run, answer)
 
-    script = [standins.notices_late, goes_on]
+    script = [standins.stops_run_late, goes_on]
     for each in engines:
         each.behaviours = script
     router = await site.router()
@@ -714,7 +720,7 @@
 async def test_a_run_whose_engine_works_on_is_given_up(site):
     # The first engine never notices that its connection was closed.
     engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.never_notices)
+    first_tried_does(engines, standins.never_stops_run)
     router = await site.router()
     began_s = time.monotonic()
     answer = await asked(router, b"/once/x", Deadline_Ms="9000")
@@ -727,29 +733,29 @@
     "second",
     [
         "sheds",
-        "is_elsewhere",
+        "answers_as_other_instance",
         "has_other_weights",
         "claims_not_run",
         "resets",
-        "errs",
-        "crosses",
-        "unsealed",
-        "breaks_off",
+        "answers_500",
+        "answers_other_request",
+        "answers_unsealed",
+        "breaks_mid_event",
         "hangs",
     ],
 )
 async def test_a_run_goes_on_from_its_copy_only_once(site, second):
     # The continuation fails, and other engines have room.
     engines = [await site.engine() for _ in range(4)]
-    script = [standins.breaks_off_copied, getattr(standins, second)]
-    script.append(standins.answers)
+    script = [standins.breaks_after_copy, getattr(standins, second)]
+    script.append(standins.answers_normally)
     for each in engines:
         each.behaviours = script
     router = await site.router()
     answer = await asked(router, b"/once/x", Deadline_Ms="1500")
     assert not answer.is_whole
     assert answer.status == 200
-    assert script == [standins.answers]
+    assert script == [standins.answers_normally]
 
 
 async def test_a_copy_ends_with_the_start_that_held_it(site):
@@ -760,8 +766,8 @@
     answer = asyncio.ensure_future(asked(router, b"/once/x"))
     await until(lambda: any(each.copies for each in engines))
     holder = next(each for each in engines if each.copies)
-    holder.start_again()
-    next(each for each in engines if each.runs).resets_runs.set()
+    holder.restart()
+    next(each for each in engines if each.runs).reset_runs.set()
     assert not (await answer).is_whole
     assert sum(len(each.runs) for each in engines) == 1
 
@@ -775,7 +781,7 @@
     await until(lambda: any(each.copies for each in engines))
     for each in engines:
         each.version = 2
-    next(each for each in engines if each.runs).resets_runs.set()
+    next(each for each in engines if each.runs).reset_runs.set()
     assert not (await answer).is_whole
     assert sum(len(each.runs) for each in engines) == 1
 
@@ -794,7 +800,7 @@
     await until(
         lambda: registry.by_name(first.incarnation).weights == {"m": 2}
     )
-    first.resets_runs.set()
+    first.reset_runs.set()
     assert not (await answer).is_whole
     assert sum(len(each.runs) for each in engines) == 1
 
@@ -808,10 +814,10 @@
     # An engine is asked whether a silent run is lost, on a connection on
     # which the answer to an earlier request comes once more.
     engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.stalls)
+    first_tried_does(engines, standins.stalls_until_report)
     router = await site.router()
     for each in engines:
-        each.before_report = [standins.sends_ahead(late)]
+        each.before_report = [standins.sends_before_report(late)]
     answer = await asked(router, b"/once/x")
     assert (answer.is_whole, answer.body) == (True, EVENTS)
     assert sum(len(each.runs) for each in engines) == 1
@@ -867,7 +873,7 @@
     connection.send(head, body)
     await until(lambda: engine.runs)
     connection.abort()
-    await asyncio.wait_for(engine.cut.wait(), DEADLINE_S)
+    await asyncio.wait_for(engine.run_cancelled.wait(), DEADLINE_S)
 
 
 async def test_an_upstream_that_leaves_gets_nothing_new(site):
@@ -938,7 +944,7 @@
     # no work, or prompts that it has to read.  Its old entry, which comes
     # once more, changes nothing.
     engine = await site.engine()
-    engine.start_again()
+    engine.restart()
     old = engine.entry()
     site.store.put("servers", engine.incarnation, old)
     router = await site.router()
@@ -946,7 +952,7 @@
     first = registry.by_name(engine.incarnation).incarnation
     believed.add_parts(first, "1", (model.Part("aa", 100),))
     registry.mark_leaving(first)
-    engine.start_again()
+    engine.restart()
     site.store.put("servers", engine.incarnation, engine.entry())
     await until(
         lambda: registry.by_name(engine.incarnation).incarnation != first
@@ -1007,14 +1013,14 @@
     staying = await site.server()
     router = await site.router()
     names = router.state.registry
-    copy = site.store.copy()
+    copy = site.store.back_up()
     lost = await site.server()
     await until(lambda: lost.incarnation in names.incarnations)
-    site.store.become("busy")
+    site.store.set_mode("busy")
     await asyncio.sleep(0.3)
-    site.store.go_back(copy)
+    site.store.restore(copy)
     since = [await site.server() for _ in range(written_since)]
-    site.store.become("well")
+    site.store.set_mode("well")
     expected = {each.incarnation for each in (staying, *since)}
     await until(lambda: names.incarnations == expected)
 
@@ -1114,7 +1120,7 @@
     # answer names newer ones, so that it passes for up to date at this
     # router, and what is believed of a start's weights only rises.
     engine = await site.engine()
-    engine.behaviours = [standins.crosses]
+    engine.behaviours = [standins.answers_other_request]
     router = await site.router()
     await asked(router, b"/s/x")
     site.store.put("versions", "m", {"model": "m", "version": 4})
@@ -1230,7 +1236,7 @@
 def watches(site):
     return sum(
         kind == "servers" and "watch" in query
-        for kind, query in site.store.asked
+        for kind, query in site.store.read_calls
     )
 
 
@@ -1238,7 +1244,7 @@
     # Each of many routers watching for itself costs the store a call for
     # each change and router.
     await asyncio.sleep(2 * fanout.READER_WAIT_S)
-    site.store.asked.clear()
+    site.store.read_calls.clear()
     desk = await site.server()
     await until(
         lambda: all(
--- a/toucanrudder/platform/tests/test_runs_seen.py
+++ b/toucanrudder/platform/tests/test_runs_seen.py
@@ -26,16 +26,16 @@
     copies, fields, is_new
 ):
     """A sick engine runs what it should refuse, as it holds no copy."""
-    site = soaking.Site(records.Record(calls=[CALL]), copies=copies)
+    site = soaking.SharedState(records.Record(calls=[CALL]), copies=copies)
     for sent in (PROMPT, PROMPT | fields):
         upstream = soaking.Upstream(site, soaking.ENGINES, "za")
-        upstream.begin(standins.Run("c1", sent, b"/", b""))
+        upstream.record_run(standins.Run("c1", sent, b"/", b""))
     assert bool(list(oracles.at_most_once(site.record))) is is_new
 
 
 def test_a_copy_serves_one_run():
-    site = soaking.Site(records.Record(calls=[CALL]), copies={COPY})
+    site = soaking.SharedState(records.Record(calls=[CALL]), copies={COPY})
     for sent in (PROMPT, PROMPT | NAMED, PROMPT | NAMED):
         upstream = soaking.Upstream(site, soaking.ENGINES, "za")
-        upstream.begin(standins.Run("c1", sent, b"/", b""))
+        upstream.record_run(standins.Run("c1", sent, b"/", b""))
     assert list(oracles.at_most_once(site.record))
--- a/toucanrudder/soak/callers.py
+++ b/toucanrudder/soak/callers.py
@@ -66,11 +66,11 @@
     ) -> records.Call:
         """Ask a router, and note what comes."""
         self._site.record.calls.append(call)
-        organisation = self._rng.choice(list(soaking.KEYS))
+        organisation = self._rng.choice(list(soaking.API_KEYS))
         if call.kind is records.Kind.POISON:
             # It is known by its caller, path and body.
-            organisation = next(iter(soaking.KEYS))
-        head, body = soaking.request(
+            organisation = next(iter(soaking.API_KEYS))
+        head, body = soaking.build_request(
             call, organisation, self._rng.randrange(PARTS)
         )
         connection = self._kept.pop(router.name, None)
@@ -96,14 +96,14 @@
         head = await connection.next_event()
         connection.keep_for_s = _keep_s(head)
         content = b""
-        soaking.take(call, head, content)
+        soaking.record_answer(call, head, content)
         while not isinstance(
             event := await connection.next_event(), client.End
         ):
             content += event.content
-            soaking.take(call, head, content)
+            soaking.record_answer(call, head, content)
         call.is_whole = True
-        soaking.take(call, head, content)
+        soaking.record_answer(call, head, content)
 
     def _keep(self, call, router, connection) -> None:
         if connection is None:
--- a/toucanrudder/soak/faults.py
+++ b/toucanrudder/soak/faults.py
@@ -173,15 +173,15 @@
             return
 
         async def behaves(standin, run, answer):
-            behaviour = soaking.well
+            behaviour = soaking.answer_normally
             if self._rng.random() < SICK_SHARE:
-                behaviour = self._rng.choice(soaking.SICKNESSES)
+                behaviour = self._rng.choice(soaking.FAULTY_BEHAVIOURS)
             await behaviour(standin, run, answer)
 
         with self._span("upstream sick", upstream.standin.incarnation):
-            upstream.standin.usual = behaves
+            upstream.standin.default_behaviour = behaves
             await asyncio.sleep(step.for_s)
-            upstream.standin.usual = soaking.well
+            upstream.standin.default_behaviour = soaking.answer_normally
 
     async def _crash(self, step: plans.Step) -> None:
         upstream = self._upstream(step)
--- a/toucanrudder/soak/site.py
+++ b/toucanrudder/soak/site.py
@@ -159,11 +159,11 @@
     upstreams: list[Upstream] = attrs.field(factory=list)
     generation: int = 0
     version: int = 0
-    shared: soaking.Site = attrs.field(init=False)
+    shared: soaking.SharedState = attrs.field(init=False)
     part_store: soaking.Upstream = attrs.field(init=False)
 
     def __attrs_post_init__(self):
-        self.shared = soaking.Site(self.record)
+        self.shared = soaking.SharedState(self.record)
         self.part_store = soaking.Upstream(self.shared, "kept", "za")
 
     @contextlib.asynccontextmanager
@@ -181,7 +181,9 @@
             for number in range(engines):
                 await self.add_upstream(soaking.ENGINES, "zab"[number % 3])
             for number in range(desks):
-                await self.add_upstream(soaking.DESK, "zab"[number % 3])
+                await self.add_upstream(
+                    soaking.PLAIN_SERVICE, "zab"[number % 3]
+                )
             self.change_document()
             self.name_weights()
             stack.push_async_callback(self._end_routers)
@@ -206,7 +208,9 @@
         """Name new weights."""
         self.version += 1
         self.store.put(
-            soaking.WEIGHTS_KIND, soaking.MODEL, soaking.weights(self.version)
+            soaking.WEIGHTS_KIND,
+            soaking.MODEL,
+            soaking.weights_spec(self.version),
         )
 
     # Upstreams.
@@ -220,7 +224,7 @@
         proxy = await stack.enter_async_context(
             proxies.proxied(standin.address)
         )
-        standin.proxy = proxy.address
+        standin.proxy_address = proxy.address
         found = Upstream(standin, proxy, stack)
         self.upstreams.append(found)
         self.register(found)
