--- a/toucanrudder/forwarding/cache_feed.py
+++ b/toucanrudder/forwarding/cache_feed.py
@@ -20,8 +20,8 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Duration of a long poll.  A longer one would save nothing, and a silent
-#: connection is detected this late.
+#: Duration of a long poll.  A longer one would cost nothing, but a silent
+#: connection is detected only after this time.
 POLL_WAIT_S = 1.0
 
 #: Delay before the retry of a failed poll.
@@ -73,7 +73,7 @@
     born_ms: int = 0
 
 
-#: Reports cache events.
+#: An engine or a store that reports cache events.
 CacheSource = model.Upstream | model.CacheStore
 
 
@@ -100,7 +100,7 @@
     async def cache_events(
         self, source: CacheSource, since: int, *, wait_s: float
     ) -> CacheUpdate | None:
-        """Return events from `since` on; None if there was no answer."""
+        """Return events after `since`; None if there was no answer."""
 
 
 class CacheFeedController:
@@ -130,7 +130,7 @@
         self._routers = routers
         self._rng = rng
         self._polls: dict[str, asyncio.Task] = {}
-        self._settling = convergence.ConvergenceDetector()
+        self._convergence = convergence.ConvergenceDetector()
 
     async def run(self) -> None:
         """Poll until cancelled."""
@@ -148,7 +148,7 @@
         ended = self._drop_ended()
         engines, stores = self._state.engines(), self._state.cache_stores()
         routers = tuple(sorted(self._routers()))
-        if self._settling.has_converged(len(routers), now_s):
+        if self._convergence.has_converged(len(routers), now_s):
             self._update_polls((*engines, *stores), routers, ended)
         self._drop_unused(engines, stores)
 
--- a/toucanrudder/forwarding/poison.py
+++ b/toucanrudder/forwarding/poison.py
@@ -11,9 +11,9 @@
 from toucanrudder import quarantine
 from toucanrudder.forwarding import model
 
-#: Number of upstream processes crashed during a request from which it is
-#: stopped.  A caller's tries and resumes of a harmless request meet two
-#: crashes at most, even if a third of all engines crash at once and again.
+#: Number of crashed upstream processes at which a request is stopped.  A
+#: caller's tries and resumes of a harmless request meet two crashes at most,
+#: even if a third of all engines crash at once and again.
 MAX_CRASHES = 3
 
 
--- a/toucanrudder/forwarding/speeds.py
+++ b/toucanrudder/forwarding/speeds.py
@@ -20,7 +20,7 @@
 #: connection and first decode step take most of the time.
 MIN_SAMPLE_TOKENS = 2_000
 
-#: Samples samples, about half a minute of a router's share, and the fewest for
+#: Most samples kept, about half a minute of a router's share, and fewest for
 #: an estimate, enough that one outlier does not count.
 MAX_SAMPLES = 64
 MIN_SAMPLES = 5
