--- a/toucanrudder/filters/deduplicate.py
+++ b/toucanrudder/filters/deduplicate.py
@@ -176,7 +176,7 @@
         ) from error
     result = claims.Result(
         response.status,
-        tuple(service.passed_headers(response.headers).items()),
+        tuple(service.forwarded_headers(response.headers).items()),
         bytes(body),
     )
     return Answer(result, upstream, response if more else None)
--- a/toucanrudder/filters/service.py
+++ b/toucanrudder/filters/service.py
@@ -171,7 +171,7 @@
         No answer came.
     """
     state = exchange.state
-    passed = service.passed_headers(exchange.http.headers)
+    passed = service.forwarded_headers(exchange.http.headers)
     passed[headers.REQUEST_ID] = exchange.request_id
     entry = in_flight.InFlightRequest("", 0)
     with state.in_flight.track(upstream.name, entry):
@@ -214,7 +214,7 @@
     response = web.StreamResponse(
         status=answer.status,
         reason=answer.reason,
-        headers=service.passed_headers(answer.headers),
+        headers=service.forwarded_headers(answer.headers),
     )
     response.headers[headers.REQUEST_ID] = exchange.request_id
     if answer.content_length is not None:
--- a/toucanrudder/retries/__init__.py
+++ b/toucanrudder/retries/__init__.py
@@ -1,4 +1,4 @@
-"""Whether a failed try is worth another."""
+"""Retry decisions and retry budgets."""
 
 from toucanrudder.retries.budget import RetryBudget
 from toucanrudder.retries.decision import AnswerState
--- a/toucanrudder/retries/budget.py
+++ b/toucanrudder/retries/budget.py
@@ -1,30 +1,30 @@
-"""Bounds the share of an upstream pool's traffic that retries may add."""
+"""A bound on the retries that may be added to a pool's traffic."""
 
 import attrs
 
 
 @attrs.define
 class RetryBudget:
-    """A token bucket that requests fill and retries empty.
+    """A token bucket that requests fill and retries drain.
 
     When half of a pool's tries fail, retrying each failure up to three
-    times nearly doubles the load on what is left, and that load fails too.
-    With a budget the pool gets at most ``1 + ratio`` times its requests,
-    whatever fails; `minimum_per_s` keeps retries possible when traffic is
-    thin.
+    times nearly doubles the load on the upstreams that are left, and that
+    load fails too.  With a budget the pool gets at most ``1 + ratio`` times
+    its requests, whatever fails; `minimum_per_s` permits retries when there
+    is little traffic.
 
     Parameters
     ----------
     ratio : float
-        Retries that each request pays for.
+        Retries that each request adds to the budget.
     minimum_per_s : float
-        Retries a second that are allowed without traffic.
+        Retries a second added without traffic.
     max_saved : float
-        Most retries that may be saved up.
+        Most retries that the budget holds.
     initial_retries : float
-        Retries saved up when the pool is first seen.  A crash early in a
-        router's life hits a whole batch at once: without savings most of
-        its innocent requests would be refused.
+        Retries that the budget holds at the first request to the pool.  A
+        crash soon after a router's start fails a whole batch at once;
+        without these retries most of its requests would be refused.
 
     Examples
     --------
@@ -38,32 +38,32 @@
     minimum_per_s: float = 1.0
     max_saved: float = 20.0
     initial_retries: float = 0.0
-    _saved: float = attrs.field(default=0.0, init=False)
+    _available: float = attrs.field(default=0.0, init=False)
     _at_s: float | None = attrs.field(default=None, init=False)
 
     @property
-    def saved(self) -> float:
-        """Retries that could be spent when it was last asked."""
-        return self._saved
+    def available(self) -> float:
+        """Retries that the budget held at its last use."""
+        return self._available
 
     def _refill(self, now_s: float) -> None:
         if self._at_s is None:
-            # A pool that has not been seen yet may retry at once.
-            self._saved = min(
+            # The first request to a pool may be retried at once.
+            self._available = min(
                 self.max_saved, self.minimum_per_s + self.initial_retries
             )
         else:
-            passed_s = max(0.0, now_s - self._at_s)
-            self._save(passed_s * self.minimum_per_s)
+            elapsed_s = max(0.0, now_s - self._at_s)
+            self._add(elapsed_s * self.minimum_per_s)
         self._at_s = now_s
 
-    def _save(self, amount: float) -> None:
-        self._saved = min(self.max_saved, self._saved + amount)
+    def _add(self, retries: float) -> None:
+        self._available = min(self.max_saved, self._available + retries)
 
     def record_request(self, now_s: float) -> None:
-        """Note a caller's request to the pool (not a retry)."""
+        """Record a caller's request to the pool, not a retry."""
         self._refill(now_s)
-        self._save(self.ratio)
+        self._add(self.ratio)
 
     def try_spend(self, now_s: float) -> bool:
         """Take one retry from the budget.
@@ -76,10 +76,10 @@
         Returns
         -------
         bool
-            False when the budget is spent; the retry must not be made.
+            False if the budget is spent; the retry must not be made.
         """
         self._refill(now_s)
-        if self._saved < 1.0:
+        if self._available < 1.0:
             return False
-        self._saved -= 1.0
+        self._available -= 1.0
         return True
--- a/toucanrudder/retries/decision.py
+++ b/toucanrudder/retries/decision.py
@@ -1,4 +1,4 @@
-"""Retry, continue elsewhere, or refuse.  No I/O."""
+"""Decision after a failed try: retry, continue or refuse.  No I/O."""
 
 import enum
 import random
@@ -15,8 +15,7 @@
 class Failure(enum.Enum):
     """How a try at an upstream failed.
 
-    The value says what is proved about execution: the first group is
-    certain not to have run.
+    The first three prove that the upstream did not run the request.
     """
 
     NOT_CONNECTED = "not_connected"
@@ -28,8 +27,8 @@
     FAILED = "failed"
 
     @property
-    def not_run(self) -> bool:
-        """Whether this failure proves that the upstream ran nothing."""
+    def proves_not_run(self) -> bool:
+        """Whether this failure proves that the upstream did not run it."""
         return self in _NOT_RUN
 
 
@@ -50,16 +49,16 @@
 
 @attrs.frozen
 class AnswerState:
-    """What the caller has been sent so far, and may still be sent.
+    """The state of the answer to the caller.
 
     Parameters
     ----------
     repeatable : bool
-        Whether a second run does no harm.
+        Whether running the request twice is harmless.
     sent_events : int
-        Events of the answer that the caller already has.
+        Events of the answer already sent to the caller.
     can_continue : bool
-        Whether another upstream can go on after those events.
+        Whether another upstream can continue after those events.
     may_have_run : bool
         Whether an earlier try of this request may have run.
     """
@@ -72,21 +71,21 @@
 
 @attrs.frozen
 class Retry:
-    """Run the request anew, after a delay."""
+    """Run the request again after a delay."""
 
     delay_s: float
 
 
 @attrs.frozen
 class Continue:
-    """Go on at another upstream after the events already sent."""
+    """Continue at another upstream after the events already sent."""
 
     delay_s: float
 
 
 @attrs.frozen
 class Refuse:
-    """Give up; the fields are those of the error."""
+    """Refuse the request; the fields are those of the error."""
 
     code: codes.Code
     message: str
@@ -95,14 +94,14 @@
 
 
 def delay_s(tries: int, rng: random.Random) -> float:
-    """Return a jittered delay that doubles with each try.
+    """Return an exponential backoff delay with full jitter.
 
-    Full jitter: callers that failed together don't come back together.
+    With full jitter, requests that failed together are not retried together.
 
     Parameters
     ----------
     tries : int
-        Tries made so far, at least one.
+        Tries made so far; at least one.
     rng : random.Random
         Source of jitter.
 
@@ -126,22 +125,22 @@
     rng: random.Random,
     now_s: float,
 ) -> Retry | Continue | Refuse:
-    """Decide after a failed try.
+    """Return the next step after a failed try.
 
     Parameters
     ----------
     failure : Failure
         How the try failed.
     answer : AnswerState
-        State of the answer, and whether the request may be repeated.
+        State of the answer; whether the request may be repeated.
     tries : int
-        Tries made, the failed one included.
+        Tries made so far, the failed one included.
     max_tries : int
-        Most tries of one request.
+        Most tries for one request.
     deadline_s : float
-        Time by which the next try must have begun, monotonic.
+        Monotonic time by which the next try must begin.
     budget : RetryBudget
-        Budget of the upstream pool; spent only if the try is made.
+        Budget of the upstream pool; spent only if there is another try.
     rng : random.Random
         Source of jitter.
     now_s : float
@@ -152,7 +151,7 @@
     Retry, Continue or Refuse
         The next step.
     """
-    ran = _ran(failure, answer)
+    ran = _proven_ran(failure, answer)
     if not answer.repeatable and ran is not codes.Ran.NOT_RUN:
         return Refuse(
             CODES[failure],
@@ -167,7 +166,7 @@
             ran,
         )
     wait_s = delay_s(tries, rng)
-    refusal = _spent(failure, ran, tries, max_tries)
+    refusal = _tries_spent(failure, ran, tries, max_tries)
     if refusal is None and now_s + wait_s >= deadline_s:
         refusal = Refuse(
             codes.Code.DEADLINE_UNMET,
@@ -189,13 +188,17 @@
     return Retry(wait_s)
 
 
-def _ran(failure: Failure, answer: AnswerState) -> codes.Ran:
-    if failure.not_run and not answer.may_have_run and not answer.sent_events:
+def _proven_ran(failure: Failure, answer: AnswerState) -> codes.Ran:
+    if (
+        failure.proves_not_run
+        and not answer.may_have_run
+        and not answer.sent_events
+    ):
         return codes.Ran.NOT_RUN
     return codes.Ran.UNKNOWN
 
 
-def _spent(
+def _tries_spent(
     failure: Failure, ran: codes.Ran, tries: int, max_tries: int
 ) -> Refuse | None:
     if tries < max_tries and failure is not Failure.CLAIM_EXPIRED:
--- a/toucanrudder/retries/tests/test_storm.py
+++ b/toucanrudder/retries/tests/test_storm.py
@@ -5,17 +5,17 @@
 
 REQUESTS = 120
 RATIO = 0.2
-#: What the budget may hold besides: saved up at the start, and by time.
-ALLOWANCE = 40
+#: Retries that the budget holds besides: at the start and from elapsed time.
+OTHER_RETRIES = 40
 
 
-async def test_half_of_all_tries_fail_and_no_storm_follows():
-    """Engines answer every second request with 500 after they took it.
+async def test_retries_stay_bounded_when_half_of_all_tries_fail():
+    """Engines accept every second request and answer it with status 500.
 
-    Each failure retried up to three times would nearly double the load on
-    engines that are failing under it.  The budget keeps the tries close to
-    the requests; the callers it gives up on are told that the outcome is
-    unknown.  The engines' own journals count the tries.
+    Retrying each failure up to three times would nearly double the load on
+    the failing engines.  The budget keeps the number of tries close to the
+    number of requests; callers whose requests are not retried are told that
+    the outcome is unknown.  The tries are counted by the engines' journals.
     """
     plan = fleets.Plan(
         engines=3,
@@ -44,5 +44,5 @@
                 if status != 200:
                     assert body["error"]["ran"] == "outcome_unknown", body
         tries = len(await fleet.runs())
-        assert tries <= REQUESTS * (1 + RATIO) + ALLOWANCE
+        assert tries <= REQUESTS * (1 + RATIO) + OTHER_RETRIES
         print(f"{tries} tries for {REQUESTS} requests")
--- a/toucanrudder/upstreams/__init__.py
+++ b/toucanrudder/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of engines and services, and what is known of each."""
+"""Clients of engines and services, and the state of each upstream."""
--- a/toucanrudder/upstreams/engine.py
+++ b/toucanrudder/upstreams/engine.py
@@ -1,4 +1,4 @@
-"""Client of one model engine: start, resume and cancel streams."""
+"""Client of model engines: start, resume and cancel streams."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -11,24 +11,24 @@
 from toucanrudder.upstreams import failures
 from toucanrudder.upstreams import sending
 
-#: Cancelling is a courtesy to the engine; nobody waits longer for it.
+#: Cancelling only saves the engine work; no caller waits longer for it.
 CANCEL_TIMEOUT_S = 2.0
 
-#: A rejection's body is shown to the caller up to this size.
+#: Most bytes of a rejection's body that are passed to the caller.
 MAX_ERROR_BYTES = 16_384
 
 
 @attrs.frozen
 class EngineCall:
-    """A request as an engine is asked.
+    """A request to an engine.
 
     Parameters
     ----------
     engine_id : str
-        Identity of the request at the engine; the engine repeats it in
-        its answer and in each chunk.
+        Identity of the request at the engine, which repeats it in its
+        answer and in each chunk.
     path : str
-        Path of the API.
+        URL path.
     body : dict
         JSON body.
     priority : int
@@ -45,8 +45,8 @@
 
 
 @attrs.frozen
-class Answer:
-    """An engine's open answer, its headers checked."""
+class EngineResponse:
+    """An engine's open response, after a check of its headers."""
 
     incarnation: str
     weights_version: str
@@ -59,13 +59,13 @@
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Owned by the daemon.
+        Session owned by the daemon.
     fresh_session : aiohttp.ClientSession
-        The same with a connector that uses each connection once.
+        The same, with a connector that uses each connection once.
     connect_timeout_s : float
-        Seconds for opening a connection.
+        Timeout of opening a connection.
     headers_timeout_s : float
-        Seconds until the headers of an answer must have come.
+        Timeout of receiving the response headers.
     """
 
     def __init__(
@@ -85,8 +85,8 @@
     @contextlib.asynccontextmanager
     async def start(
         self, upstream: model.Upstream, call: EngineCall, fresh: bool = False
-    ) -> AsyncIterator[Answer]:
-        """Send the request and yield the open answer.
+    ) -> AsyncIterator[EngineResponse]:
+        """Send the request and yield the open response.
 
         Parameters
         ----------
@@ -95,14 +95,15 @@
         call : EngineCall
             The request.
         fresh : bool
-            Whether to use a connection of its own.
+            Whether to use a new connection.
 
         Raises
         ------
         UpstreamFailure
-            Of kind ``not_reached``, ``refused``, ``rejected``, ``error``,
-            ``crossed``; or ``silent`` when the connection broke after the
-            request may have been sent, so that resuming will tell.
+            Of kind ``not_reached``, ``refused``, ``rejected``, ``error`` or
+            ``crossed``; or ``silent`` if the connection broke after the
+            request may have been sent, so that only resuming shows the
+            outcome.
         """
         session = self._fresh if fresh else self._session
         request = session.post(
@@ -115,37 +116,37 @@
             },
             timeout=self._timeout,
             allow_redirects=False,
-            middlewares=(sending.once(upstream.name),),
+            middlewares=(sending.without_resend(upstream.name),),
         )
-        async with self._answer(request, upstream, call.engine_id) as answer:
+        async with self._open(request, upstream, call.engine_id) as answer:
             yield answer
 
     @contextlib.asynccontextmanager
     async def resume(
         self, upstream: model.Upstream, engine_id: str, after: int
-    ) -> AsyncIterator[Answer]:
-        """Open the stream again, on a connection of its own, after an event.
+    ) -> AsyncIterator[EngineResponse]:
+        """Resume the stream after an event, on a new connection.
 
-        A new connection matters: the pool's idle ones may run over the
-        same path that lost track of the first.
+        The pool's idle connections may use the same network path that lost
+        the first one.
 
         Raises
         ------
         UpstreamFailure
-            As `start`; ``lost`` when the engine does not know the stream.
+            As in `start`; ``lost`` if the engine does not know the stream.
         """
         request = self._fresh.get(
             f"http://{upstream.address}/v1/streams/{engine_id}",
             params={"after": str(after)},
             timeout=self._timeout,
             allow_redirects=False,
-            middlewares=(sending.once(upstream.name),),
+            middlewares=(sending.without_resend(upstream.name),),
         )
-        async with self._answer(request, upstream, engine_id) as answer:
+        async with self._open(request, upstream, engine_id) as answer:
             yield answer
 
     async def cancel(self, upstream: model.Upstream, engine_id: str) -> bool:
-        """Stop the work; return whether the engine confirmed."""
+        """Cancel the request; return whether the engine confirmed it."""
         try:
             async with self._fresh.post(
                 f"http://{upstream.address}/v1/requests/{engine_id}/cancel",
@@ -156,40 +157,40 @@
             return False
 
     @contextlib.asynccontextmanager
-    async def _answer(self, request, upstream, engine_id):
+    async def _open(self, request, upstream, engine_id):
         name = upstream.name
-        # A request written into a pooled connection whose path is lost
-        # vanishes without an error; only the deadline tells.
-        with sending.mapped(name):
+        # A request written to a pooled connection whose network path is lost
+        # raises no error; only the timeout detects it.
+        with sending.translated_errors(name):
             async with asyncio.timeout(self._headers_timeout_s):
                 response = await request
         try:
             _check_identity(response, name, engine_id)
             if response.status != 200:
                 body = await _error_body(response, self._headers_timeout_s)
-                raise _refusal(response, name, body)
-            yield Answer(
+                raise _failure_of(response, name, body)
+            yield EngineResponse(
                 incarnation=response.headers.get("X-Incarnation", ""),
                 weights_version=response.headers.get("X-Weights-Version", ""),
                 content=response.content,
             )
         finally:
-            # An answer that was left half read must not go back to the
-            # pool: the next request on it would read this one's bytes.
+            # The connection of a partly read response must not go back to
+            # the pool: the next request would read the remaining bytes.
             if not response.content.at_eof():
                 response.close()
             response.release()
 
 
 def _check_identity(response, name: str, engine_id: str) -> None:
-    # A proxy or an engine that mixes up pipelined answers, or answers late,
-    # hands us another request's.  The identity it repeats is the only
-    # witness.  A refusal needs it as well: somebody else's "not run" proves
-    # nothing about our request.
+    # A proxy or an engine that confuses pipelined responses, or responds
+    # late, may send the response to another request.  Only the repeated
+    # identity shows it.  Refusals are checked as well: the "not run" of
+    # another request proves nothing about this one.
     if response.headers.get("X-Request-Id") != engine_id:
         response.close()
         raise failures.UpstreamFailure(
-            failures.Kind.CROSSED, name, "answer to another request"
+            failures.Kind.CROSSED, name, "response to another request"
         )
 
 
@@ -201,7 +202,7 @@
         return b""
 
 
-def _refusal(response, name: str, body: bytes) -> failures.UpstreamFailure:
+def _failure_of(response, name: str, body: bytes) -> failures.UpstreamFailure:
     status = response.status
     if status == 503 and response.headers.get("X-Not-Run") == "1":
         kind = failures.Kind.REFUSED
--- a/toucanrudder/upstreams/failures.py
+++ b/toucanrudder/upstreams/failures.py
@@ -1,4 +1,4 @@
-"""How a try at an upstream can fail, and what each failure proves."""
+"""Failures of tries at upstreams, and whether each proves that none ran."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class Kind(enum.Enum):
-    """Kinds of failed tries; the values label the retry counters."""
+    """Kinds of failed tries; the values are labels of the retry counters."""
 
     NOT_REACHED = "not_reached"
     REFUSED = "refused"
@@ -21,36 +21,36 @@
     REJECTED = "rejected"
 
 
-#: Message of the failure after silence, as opposed to a broken connection.
+#: Message of a failure by timeout, as opposed to a broken connection.
 NO_BYTES_IN_TIME = "no bytes arrived in time"
 
-#: The engine process is dead, or looks so from here.
+#: After these, the engine process is presumed to have crashed.
 PRESUMES_CRASH = frozenset({Kind.CRASHED, Kind.BROKEN})
 
-#: No byte of the request can have been executed after these.
+#: These prove that the request was not executed.
 PROVES_NOT_RUN = frozenset({Kind.NOT_REACHED, Kind.REFUSED})
 
 
 @attrs.define(eq=False)
 class UpstreamFailure(Exception):
-    """A try at an upstream that gave no whole answer.
+    """A try at an upstream without a complete answer.
 
     Parameters
     ----------
     kind : Kind
-        What happened.
+        Kind of the failure.
     upstream : str
         Name of the upstream.
     message : str
-        One sentence for a log line.
+        Message for the log.
     status : int
-        HTTP status that the upstream gave, or 0.
+        HTTP status of the upstream's response, or 0.
     body : bytes
-        Body of a rejection, for the caller.
+        Body of a rejection, which is passed to the caller.
     connection_refused : bool
-        Whether the upstream's host answered that nothing listens there.
+        Whether the upstream's host refused the connection.
     incarnation : str
-        Incarnation that the refusing upstream gave, or empty.
+        Incarnation in the upstream's response, or empty.
     """
 
     kind: Kind
@@ -66,7 +66,7 @@
 
     @property
     def ran(self) -> codes.Ran:
-        """Whether the request can have been executed by this try."""
+        """Whether this try may have executed the request."""
         if self.kind in PROVES_NOT_RUN:
             return codes.Ran.NOT_RUN
         return codes.Ran.UNKNOWN
--- a/toucanrudder/upstreams/in_flight.py
+++ b/toucanrudder/upstreams/in_flight.py
@@ -1,4 +1,4 @@
-"""This router's own work at each upstream."""
+"""This router's own requests in flight at each upstream."""
 
 from collections.abc import Iterator
 import contextlib
@@ -8,22 +8,22 @@
 
 @attrs.define(eq=False)
 class InFlightRequest:
-    """One request that is at an upstream now.
+    """One request in flight at an upstream.
 
     Parameters
     ----------
     fingerprint : str
-        Organisation and body digest, as the quarantine knows it.
+        Identity of the request, from `quarantine.fingerprint`.
     prefill_tokens : int
-        Prompt tokens it still has to compute there, expected; 0 once the
-        first token has come.
+        Prompt tokens expected still to be computed there; 0 once the first
+        token has arrived.
     incarnation : str
-        Incarnation of the upstream that it was sent to, or empty while
-        that is not known.
+        Incarnation of the upstream that it was sent to; empty while
+        unknown.
     isolated : bool
-        Whether it was sent there as a suspect on trial.
+        Whether it was sent there as a suspect for a trial.
     priority : int
-        Its class; the smaller goes first.
+        Priority class; smaller ones run first.
     """
 
     fingerprint: str
@@ -34,7 +34,7 @@
 
 
 class InFlightTable:
-    """Entries by upstream.
+    """Requests in flight, by upstream.
 
     Examples
     --------
@@ -48,47 +48,50 @@
     """
 
     def __init__(self):
-        self._entries: dict[str, set[InFlightRequest]] = {}
+        self._requests: dict[str, set[InFlightRequest]] = {}
 
     @contextlib.contextmanager
     def track(
-        self, upstream: str, entry: InFlightRequest
+        self, upstream: str, request: InFlightRequest
     ) -> Iterator[InFlightRequest]:
-        """Count the entry for as long as the context is open."""
-        entries = self._entries.setdefault(upstream, set())
-        entries.add(entry)
+        """Track the request while the context is open."""
+        requests = self._requests.setdefault(upstream, set())
+        requests.add(request)
         try:
-            yield entry
+            yield request
         finally:
-            entries.discard(entry)
+            requests.discard(request)
 
     def request_count(self, upstream: str) -> int:
-        """Return how many requests are there."""
-        return len(self._entries.get(upstream, ()))
+        """Return the number of requests at the upstream."""
+        return len(self._requests.get(upstream, ()))
 
     def prefill_tokens(self, upstream: str) -> int:
-        """Return the tokens sent there that gave no first token yet."""
+        """Return the prompt tokens still to be computed at the upstream."""
         return sum(
-            entry.prefill_tokens for entry in self._entries.get(upstream, ())
+            request.prefill_tokens
+            for request in self._requests.get(upstream, ())
         )
 
     def ahead_share(self, priority: int) -> float:
-        """Return the part of the prefill work that goes before a class.
+        """Return the fraction of prefill work that runs before a class.
 
-        Over all upstreams, as one router has little work at any one.
+        Taken over all upstreams, as one router has few requests at each.
         """
         ahead, total = 0, 0
-        for entries in self._entries.values():
-            for entry in entries:
-                total += entry.prefill_tokens
-                if entry.priority <= priority:
-                    ahead += entry.prefill_tokens
+        for requests in self._requests.values():
+            for request in requests:
+                total += request.prefill_tokens
+                if request.priority <= priority:
+                    ahead += request.prefill_tokens
         return ahead / total if total else 1.0
 
     def entries(self, upstream: str) -> tuple[InFlightRequest, ...]:
-        """Return the entries at the upstream."""
-        return tuple(self._entries.get(upstream, ()))
+        """Return the requests at the upstream."""
+        return tuple(self._requests.get(upstream, ()))
 
     def busy_upstreams(self) -> tuple[str, ...]:
-        """Return the upstreams at which there are requests."""
-        return tuple(name for name, there in self._entries.items() if there)
+        """Return the upstreams with requests."""
+        return tuple(
+            name for name, requests in self._requests.items() if requests
+        )
--- a/toucanrudder/upstreams/loads.py
+++ b/toucanrudder/upstreams/loads.py
@@ -3,7 +3,7 @@
 import attrs
 import cattrs
 
-#: A report older than this says nothing about the upstream's health.
+#: Seconds after which a report no longer shows that the upstream is healthy.
 STALE_S = 3.0
 
 _converter = cattrs.Converter()
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class LoadReport:
-    """What an upstream says of itself; see docs/protocols.md."""
+    """The load that an upstream reports; see docs/protocols.md."""
 
     name: str
     incarnation: str
@@ -34,7 +34,7 @@
     Raises
     ------
     ValueError
-        The body has another shape.
+        If the body is not a load report.
 
     Examples
     --------
@@ -57,48 +57,48 @@
 
 
 class LoadTable:
-    """Reports and failures of polls, by upstream."""
+    """Latest load reports and failed polls, by upstream."""
 
     def __init__(self):
-        self._known: dict[str, ReceivedReport] = {}
-        self._gone: set[str] = set()
+        self._reports: dict[str, ReceivedReport] = {}
+        self._unreachable: set[str] = set()
 
     def record_report(
         self, name: str, report: LoadReport, now_s: float
     ) -> bool:
-        """Take a report; return whether the incarnation is a new one."""
-        before = self._known.get(name)
-        self._known[name] = ReceivedReport(report, now_s)
-        self._gone.discard(name)
+        """Store a report; return whether the incarnation has changed."""
+        previous = self._reports.get(name)
+        self._reports[name] = ReceivedReport(report, now_s)
+        self._unreachable.discard(name)
         return (
-            before is not None
-            and before.report.incarnation != report.incarnation
+            previous is not None
+            and previous.report.incarnation != report.incarnation
         )
 
     def mark_unreachable(self, name: str) -> None:
-        """Note that nothing listens there; holds until the next report."""
-        self._gone.add(name)
+        """Mark an upstream unreachable until its next report."""
+        self._unreachable.add(name)
 
     def get(self, name: str) -> ReceivedReport | None:
         """Return the last report, or None before the first one."""
-        return self._known.get(name)
+        return self._reports.get(name)
 
     def is_reachable(self, name: str) -> bool:
-        """Whether nothing has shown that the upstream is gone."""
-        return name not in self._gone
+        """Whether the upstream is not marked unreachable."""
+        return name not in self._unreachable
 
     def is_healthy(self, name: str, now_s: float) -> bool:
-        """Whether new work may be sent there, as far as polls tell.
+        """Whether polls permit sending new requests there.
 
-        An upstream that was never heard of counts as healthy: a router
-        that has just started must serve before its first polls are back.
+        An upstream without a report counts as healthy: a router that has
+        just started must serve before its first polls are answered.
         """
-        known = self._known.get(name)
-        fresh = known is None or now_s - known.received_s <= STALE_S
-        return fresh and self.is_reachable(name)
+        latest = self._reports.get(name)
+        is_fresh = latest is None or now_s - latest.received_s <= STALE_S
+        return is_fresh and self.is_reachable(name)
 
     def retain(self, names: frozenset[str]) -> None:
-        """Forget upstreams that the configuration no longer holds."""
-        self._gone &= names
-        for name in self._known.keys() - names:
-            del self._known[name]
+        """Forget upstreams that are not in the configuration."""
+        self._unreachable &= names
+        for name in self._reports.keys() - names:
+            del self._reports[name]
--- a/toucanrudder/upstreams/sending.py
+++ b/toucanrudder/upstreams/sending.py
@@ -1,4 +1,4 @@
-"""Sends a request to an upstream once, and says how that failed."""
+"""Sending of a request at most once, and translation of its errors."""
 
 from collections.abc import Iterator
 import contextlib
@@ -9,19 +9,19 @@
 
 
 @contextlib.contextmanager
-def mapped(name: str) -> Iterator[None]:
-    """Raise `UpstreamFailure` for the client library's exceptions.
+def translated_errors(name: str) -> Iterator[None]:
+    """Translate the client library's exceptions to `UpstreamFailure`.
 
     Parameters
     ----------
     name : str
-        The upstream.
+        Name of the upstream.
 
     Raises
     ------
     UpstreamFailure
-        ``not_reached`` when no connection came about, so that no byte of
-        the request was sent; else ``silent``.
+        ``not_reached`` if no connection was established, so that no byte
+        of the request was sent; ``silent`` otherwise.
     """
     try:
         yield
@@ -36,7 +36,7 @@
         ) from error
     except aiohttp.ConnectionTimeoutError as error:
         raise failures.UpstreamFailure(
-            failures.Kind.NOT_REACHED, name, "no connection in time"
+            failures.Kind.NOT_REACHED, name, "connection timed out"
         ) from error
     except TimeoutError as error:
         raise failures.UpstreamFailure(
@@ -48,17 +48,17 @@
         ) from error
 
 
-def once(name: str):
-    """Return a client middleware that keeps aiohttp from sending twice.
+def without_resend(name: str):
+    """Return a client middleware that prevents aiohttp from resending.
 
-    aiohttp repeats a GET, PUT or DELETE by itself when the connection
-    breaks before an answer: a call that may not be repeated would run
-    twice.  It does so for its own exceptions only, so that raising ours
-    inside the call ends it after one sending.
+    aiohttp resends a GET, PUT or DELETE by itself if the connection breaks
+    before the response, so that a request that must not be repeated could
+    run twice.  It does so only for its own exceptions; raising another one
+    inside the middleware prevents it.
     """
 
     async def send(request, handler):
-        with mapped(name):
+        with translated_errors(name):
             return await handler(request)
 
     return send
--- a/toucanrudder/upstreams/service.py
+++ b/toucanrudder/upstreams/service.py
@@ -1,4 +1,4 @@
-"""Client of plain services: passes one HTTP call through."""
+"""Client of plain services: forwards one HTTP call."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -13,8 +13,8 @@
 
 _IDENTITY = "X-Request-Id"
 
-#: Headers that belong to one connection, and those that are ours.
-_NOT_PASSED = frozenset(
+#: Headers of one connection, and headers that the router sets itself.
+_NOT_FORWARDED = frozenset(
     name.lower()
     for name in (
         "Authorization",
@@ -35,13 +35,13 @@
 )
 
 
-def passed_headers(headers: CIMultiDictProxy) -> CIMultiDict:
-    """Return the headers that go on to the other side.
+def forwarded_headers(headers: CIMultiDictProxy) -> CIMultiDict:
+    """Return the headers that are forwarded.
 
-    Those that ``Connection`` names are left out too: they speak of one
-    connection, and would be false on the next.
+    Headers listed in ``Connection`` are omitted too, since they apply to one
+    connection only.
     """
-    named = {
+    hop_by_hop = {
         name.strip().lower()
         for value in headers.getall("Connection", [])
         for name in value.split(",")
@@ -49,7 +49,8 @@
     return CIMultiDict(
         (name, value)
         for name, value in headers.items()
-        if name.lower() not in _NOT_PASSED and name.lower() not in named
+        if name.lower() not in _NOT_FORWARDED
+        and name.lower() not in hop_by_hop
     )
 
 
@@ -59,10 +60,10 @@
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Owned by the daemon; its connector must use each connection once
-        and it must not decompress answers.
+        Session owned by the daemon; its connector must use each connection
+        once, and it must not decompress responses.
     connect_timeout_s : float
-        Seconds for opening a connection.
+        Timeout of opening a connection.
     """
 
     def __init__(
@@ -82,13 +83,13 @@
         body: bytes,
         timeout_s: float,
     ) -> AsyncIterator[aiohttp.ClientResponse]:
-        """Send the call and yield the open answer.
+        """Send the call and yield the open response.
 
         Raises
         ------
         UpstreamFailure
-            ``not_reached`` or ``refused`` prove that nothing ran;
-            ``silent`` and ``crossed`` leave it open.
+            ``not_reached`` and ``refused`` prove that the call did not run;
+            after ``silent`` and ``crossed`` it may have run.
         """
         timeout = aiohttp.ClientTimeout(
             total=timeout_s, sock_connect=self._connect_timeout_s
@@ -100,16 +101,16 @@
             data=body,
             timeout=timeout,
             allow_redirects=False,
-            middlewares=(sending.once(upstream.name),),
+            middlewares=(sending.without_resend(upstream.name),),
         )
-        with sending.mapped(upstream.name):
+        with sending.translated_errors(upstream.name):
             response = await request
         try:
             if (
                 response.status == 503
                 and response.headers.get("X-Not-Run") == "1"
             ):
-                raise _refusal(
+                raise _refusal_failure(
                     upstream.name,
                     headers.get(_IDENTITY, ""),
                     response.headers.get(_IDENTITY),
@@ -119,12 +120,12 @@
             response.close()
 
 
-def _refusal(
-    name: str, sent: str, repeated: str | None
+def _refusal_failure(
+    name: str, sent_id: str, repeated_id: str | None
 ) -> failures.UpstreamFailure:
-    # A service need not repeat the identity.  If it repeats another, the
-    # answer was mixed up on the way and proves nothing of this call.
-    if repeated is not None and repeated != sent:
+    # A service need not repeat the identity.  If it repeats another one, the
+    # response belongs to another call and proves nothing about this one.
+    if repeated_id is not None and repeated_id != sent_id:
         return failures.UpstreamFailure(
             failures.Kind.CROSSED, name, "refusal of another request"
         )
