--- a/toucanrudder/prefix/__init__.py
+++ b/toucanrudder/prefix/__init__.py
@@ -1,4 +1,4 @@
-"""Identity of prompt prefixes, what is cached where, and what is hot."""
+"""Prompt prefixes: identities, cache locations and request rates."""
 
 from toucanrudder.prefix.cache_index import PrefixCacheIndex
 from toucanrudder.prefix.request_rates import PrefixRates
--- a/toucanrudder/prefix/cache_index.py
+++ b/toucanrudder/prefix/cache_index.py
@@ -1,10 +1,10 @@
-"""What each engine is believed to hold in its prefix cache.
+"""Index of the blocks expected in each engine's prefix cache.
 
-Entries are kept for an engine process, named by upstream and incarnation,
-and looked up by exactly that name.  The keys themselves depend on the
-organisation and the weights (`toucanrudder.prefix.identity`).  Nothing
-believed of a dead engine, another organisation or older weights can thus
-be found; no clean-up has to come in time for that.
+Blocks are indexed by engine process, that is by upstream and incarnation,
+and the block keys depend on the organisation and the weights
+(`toucanrudder.prefix.identity`).  A lookup can therefore never return blocks
+of a dead process, of another organisation or of older weights, without any
+timely clean-up.
 """
 
 import collections
@@ -15,21 +15,22 @@
 
 from toucanrudder.prefix import identity
 
+#: Smoothing factor of the share of prompt tokens that an engine computes.
 SHARE_SMOOTHING = 0.05
 
 
 @attrs.define
 class Accuracy:
-    """How beliefs compared with the truth that answers carried.
+    """Comparison of expected and actual cache hits.
 
     Parameters
     ----------
     expected_tokens : int
         Tokens expected to be cached when requests were sent.
     false_hit_tokens : int
-        Those of them that the engine had to compute.
+        Expected tokens that the engine had to compute.
     missed_hit_tokens : int
-        Tokens cached although nobody expected them.
+        Tokens that were cached but not expected.
     """
 
     expected_tokens: int = 0
@@ -38,7 +39,7 @@
 
     @property
     def false_hit_rate(self) -> float:
-        """False hits as a share of expected tokens."""
+        """Fraction of the expected tokens that were not cached."""
         if not self.expected_tokens:
             return 0.0
         return self.false_hit_tokens / self.expected_tokens
@@ -46,29 +47,29 @@
 
 @attrs.define
 class _EngineIndex:
-    # From key to the time the block was last known to be used, oldest
-    # first.
+    # Time at which each block was last known to be used, least recently
+    # used first.
     used_at_s: collections.OrderedDict[bytes, float] = attrs.field(
         factory=collections.OrderedDict
     )
     sequence: int | None = None
     computed_share: float = 1.0
-    distrusted_before_s: float = float("-inf")
+    ignored_before_s: float = float("-inf")
 
 
 class PrefixCacheIndex:
-    """Entries of all engines.
+    """Blocks expected in the prefix caches of all engines.
 
     Parameters
     ----------
     max_blocks_per_engine : int
-        Blocks remembered of one engine; the longest unused is dropped.
+        Blocks kept for one engine; the least recently used is dropped.
     max_engines : int
-        Engine processes remembered.
+        Engine processes kept; the least recently used is dropped.
     max_age_s : float
-        Age after which an unconfirmed belief is no longer held.
+        Seconds since its last known use after which a block is ignored.
     gap_max_age_s : float
-        The same for beliefs from before a gap in the events.
+        The same for blocks last used before a gap in the cache events.
 
     Examples
     --------
@@ -97,7 +98,7 @@
         self.accuracy = Accuracy()
 
     def __len__(self) -> int:
-        return sum(len(each.used_at_s) for each in self._engines.values())
+        return sum(len(engine.used_at_s) for engine in self._engines.values())
 
     def expected_cached_tokens(
         self,
@@ -106,7 +107,7 @@
         keys: Sequence[bytes],
         now_s: float,
     ) -> int:
-        """Return how many leading prompt tokens are believed cached.
+        """Return how many leading prompt tokens are expected in the cache.
 
         Parameters
         ----------
@@ -115,12 +116,12 @@
         keys : sequence of bytes
             Identities of the prompt's blocks, outermost first.
         now_s : float
-            Present monotonic time.
+            Current monotonic time.
 
         Returns
         -------
         int
-            Tokens of the unbroken run of believed blocks from the start.
+            Tokens of the leading blocks up to the first one not expected.
         """
         engine = self._engines.get((upstream, incarnation))
         if engine is None:
@@ -140,8 +141,8 @@
         keys: Sequence[bytes],
         now_s: float,
     ) -> None:
-        """Note that a prompt was sent, so its blocks will be cached."""
-        self._use(self._engine(upstream, incarnation), keys, now_s)
+        """Record that a prompt was sent, so that its blocks will be cached."""
+        self._mark_used(self._engine(upstream, incarnation), keys, now_s)
 
     def record_answer(
         self,
@@ -154,13 +155,13 @@
         now_s: float,
         prompt_tokens: int = 0,
     ) -> None:
-        """Learn from an answer how much of the prompt was cached.
+        """Record from an answer how much of the prompt was cached.
 
         Parameters
         ----------
         upstream, incarnation : str
-            As the answer names them; the incarnation may differ from the
-            one the request was sent to.
+            The engine process that answered; the incarnation may differ
+            from the one to which the request was sent.
         keys : sequence of bytes
             Identities of the prompt's blocks.
         expected_tokens : int
@@ -168,7 +169,7 @@
         cached_tokens : int
             ``usage.prompt_tokens_details.cached_tokens`` of the answer.
         now_s : float
-            Present monotonic time.
+            Current monotonic time.
         prompt_tokens : int
             Length of the prompt; 0 if unknown.
         """
@@ -178,17 +179,17 @@
         accuracy.missed_hit_tokens += max(0, cached_tokens - expected_tokens)
         # The engine has just computed or used each block of the prompt.
         engine = self._engine(upstream, incarnation)
-        self._use(engine, keys, now_s)
+        self._mark_used(engine, keys, now_s)
         if prompt_tokens:
             share = 1.0 - min(1.0, cached_tokens / prompt_tokens)
             change = share - engine.computed_share
             engine.computed_share += SHARE_SMOOTHING * change
 
     def computed_share(self, upstream: str, incarnation: str) -> float:
-        """Return the part of late prompts that the engine had to compute.
+        """Return the recent fraction of prompt tokens the engine computed.
 
-        Load reports count queued prompts whole; this tells how much work
-        they stand for.  1 while nothing is known.
+        Load reports count whole queued prompts; this fraction of them is
+        actual work.  1 while nothing is known.
         """
         engine = self._engines.get((upstream, incarnation))
         return 1.0 if engine is None else engine.computed_share
@@ -196,7 +197,7 @@
     def withdraw_dispatch(
         self, upstream: str, incarnation: str, keys: Sequence[bytes]
     ) -> None:
-        """Withdraw what a dispatch noted: the prompt was not computed."""
+        """Remove the blocks of a dispatch whose prompt was not computed."""
         engine = self._engines.get((upstream, incarnation))
         if engine is not None:
             _drop(engine, keys)
@@ -209,10 +210,10 @@
         keys: Sequence[bytes],
         now_s: float,
     ) -> None:
-        """Take a ``stored`` event."""
+        """Apply a ``stored`` event."""
         engine = self._engine(upstream, incarnation)
         if self._advance(engine, sequence, now_s):
-            self._use(engine, keys, now_s)
+            self._mark_used(engine, keys, now_s)
 
     def evicted(
         self,
@@ -222,7 +223,7 @@
         keys: Sequence[bytes],
         now_s: float,
     ) -> None:
-        """Take an ``evicted`` event."""
+        """Apply an ``evicted`` event."""
         engine = self._engine(upstream, incarnation)
         if self._advance(engine, sequence, now_s):
             _drop(engine, keys)
@@ -230,7 +231,7 @@
     def cleared(
         self, upstream: str, incarnation: str, sequence: int, now_s: float
     ) -> None:
-        """Take a ``cleared`` event: the engine's cache is empty."""
+        """Apply a ``cleared`` event: the engine's cache is empty."""
         engine = self._engine(upstream, incarnation)
         if self._advance(engine, sequence, now_s):
             engine.used_at_s.clear()
@@ -238,27 +239,27 @@
     def heartbeat(
         self, upstream: str, incarnation: str, sequence: int, now_s: float
     ) -> None:
-        """Take a ``heartbeat`` with the engine's latest sequence number."""
+        """Apply a ``heartbeat`` with the engine's latest sequence number."""
         engine = self._engine(upstream, incarnation)
         if engine.sequence is None:
             engine.sequence = sequence
         elif sequence > engine.sequence:
             engine.sequence = sequence
-            self._distrust(engine, now_s)
+            self._shorten_age(engine, now_s)
 
     def forget_replaced(self, upstream: str, incarnation: str) -> None:
-        """Forget all but the process that has just answered.
+        """Forget all processes of an upstream but the one that answered.
 
-        A request that was sent to one process and answered by another
-        proves the first one dead.  Load reports may still name it for a
-        while; what it held must not be credited meanwhile.
+        A request sent to one process and answered by another proves that the
+        first one is dead.  Load reports may still name it for a while, and
+        its blocks must not be expected meanwhile.
         """
         for name in list(self._engines):
             if name[0] == upstream and name[1] != incarnation:
                 del self._engines[name]
 
     def forget(self, upstream: str, incarnation: str) -> None:
-        """Free what is held of an engine process known to be gone."""
+        """Forget an engine process that is known to be gone."""
         self._engines.pop((upstream, incarnation), None)
 
     def _engine(self, upstream: str, incarnation: str) -> _EngineIndex:
@@ -275,31 +276,31 @@
         self, engine: _EngineIndex, sequence: int, now_s: float
     ) -> bool:
         if engine.sequence is not None and sequence <= engine.sequence:
-            # A reconnected stream repeats old lines.  An old "stored"
-            # would bring back blocks that were evicted since.
+            # A reconnected stream repeats events.  A repeated "stored" would
+            # add blocks that have been evicted since.
             return False
         if engine.sequence is not None and sequence > engine.sequence + 1:
-            self._distrust(engine, now_s)
+            self._shorten_age(engine, now_s)
         engine.sequence = sequence
         return True
 
-    def _distrust(self, engine: _EngineIndex, now_s: float) -> None:
-        # Lost lines may have been evictions.  Blocks not seen in use for
-        # a while are the likeliest victims, and trusting them would send
-        # prompts to an engine that must compute them; recent ones stay,
-        # as forgetting all of them would scatter every hot prefix.
-        engine.distrusted_before_s = max(
-            engine.distrusted_before_s, now_s - self._gap_max_age_s
+    def _shorten_age(self, engine: _EngineIndex, now_s: float) -> None:
+        # Lost events may have been evictions.  Blocks not used for a while
+        # are the likeliest to be evicted, and expecting them would place
+        # prompts on an engine that must compute them.  Recent ones are kept:
+        # without them every hot prefix would be scattered over the engines.
+        engine.ignored_before_s = max(
+            engine.ignored_before_s, now_s - self._gap_max_age_s
         )
 
     def _oldest_s(self, engine: _EngineIndex, now_s: float) -> float:
-        return max(engine.distrusted_before_s, now_s - self._max_age_s)
+        return max(engine.ignored_before_s, now_s - self._max_age_s)
 
-    def _use(
+    def _mark_used(
         self, engine: _EngineIndex, keys: Sequence[bytes], now_s: float
     ) -> None:
-        # Innermost first: engines evict a block before its parent, so the
-        # parent is the one to remember longer.
+        # Innermost first: engines evict a block before its parent, so that
+        # the parent must be kept longer here.
         for key in reversed(keys):
             engine.used_at_s[key] = now_s
             engine.used_at_s.move_to_end(key)
--- a/toucanrudder/prefix/identity.py
+++ b/toucanrudder/prefix/identity.py
@@ -1,8 +1,9 @@
 """Identities of prompt blocks, as engines publish them.
 
-The definition stands in ``docs/protocols.md``.  All identities are keyed
-hashes under a salt that only the fleet knows, so that a caller can neither
-name another organisation's block nor construct two texts that share one.
+They are defined in ``docs/protocols.md``.  All identities are hashes keyed
+with a salt that only the fleet knows, so that a caller can neither compute
+the identity of another organisation's block nor construct two texts with the
+same one.
 """
 
 from collections.abc import Sequence
@@ -29,7 +30,7 @@
     Returns
     -------
     bytes
-        16 bytes; they go to engines as ``X-Cache-Salt`` in hex.
+        16 bytes; sent to engines in hex as ``X-Cache-Salt``.
 
     Examples
     --------
@@ -39,8 +40,8 @@
     >>> len(one)
     16
     """
-    # The same secret also signs resume tokens.  Without the separate
-    # personalisation a token could be replayed as a salt.
+    # The same secret signs resume tokens.  Without a separate
+    # personalisation, a token could be replayed as a salt.
     secret = hashlib.blake2b(fleet_key.encode(), digest_size=32).digest()
     return hashlib.blake2b(
         organisation.encode("utf-8", "surrogatepass"),
@@ -62,17 +63,17 @@
     Parameters
     ----------
     organisation_salt : bytes
-        From `salt`.
+        From `cache_salt`.
     model, adapter, weights_version : str
-        What computes the blocks; blocks of other weights never match.
+        The model that computes the blocks; other weights never match.
     text : str
         Canonical text of the prompt.
 
     Returns
     -------
     tuple of bytes
-        One identity a block, outermost first; each stands for the whole
-        prefix up to its end.
+        One identity for each block, outermost first; each identifies the
+        whole prefix up to the end of its block.
 
     Examples
     --------
@@ -88,16 +89,16 @@
     parent = _digest(
         f"{model}\n{adapter}\n{weights_version}".encode(), organisation_salt
     )
-    chain = []
+    block_digests = []
     for start in range(0, len(data) - BLOCK_BYTES + 1, BLOCK_BYTES):
-        piece = data[start : start + BLOCK_BYTES]
-        parent = _digest(parent + piece, organisation_salt)
-        chain.append(parent)
-    return tuple(chain)
+        block = data[start : start + BLOCK_BYTES]
+        parent = _digest(parent + block, organisation_salt)
+        block_digests.append(parent)
+    return tuple(block_digests)
 
 
 def canonical_text(path: str, body: dict) -> str:
-    """Return the text whose blocks engines cache.
+    """Return the prompt text of a request, as engines cache it.
 
     Parameters
     ----------
@@ -109,7 +110,7 @@
     Returns
     -------
     str
-        The prompt, or the messages joined as the engines join them.
+        The prompt, or the messages joined as engines join them.
 
     Examples
     --------
@@ -126,7 +127,7 @@
 
 
 def estimate_prompt_tokens(text: str) -> int:
-    """Estimate the tokens of a canonical text.
+    """Estimate the number of tokens in a canonical text.
 
     Examples
     --------
--- a/toucanrudder/prefix/request_rates.py
+++ b/toucanrudder/prefix/request_rates.py
@@ -1,8 +1,8 @@
-"""Rates of the most requested prefixes, in bounded memory.
+"""Request rates of the most requested prefixes, in bounded memory.
 
 Counts decay exponentially.  Each is stored scaled by the growth since a
-common origin, so that decay needs no sweep and the order of the counts
-does not change while time passes.
+common origin, so that decay needs no sweep and the order of the counts is
+constant over time.
 """
 
 from collections.abc import Iterable
@@ -11,12 +11,14 @@
 import attrs
 import sortedcontainers
 
+# Exponent of the growth at which the counts are rescaled; it must stay below
+# the overflow of the exponential function.
 _RESCALE_EXPONENT = 200.0
 
 
 @attrs.frozen
 class HotPrefix:
-    """A prefix key and the requests a second that a router sees for it."""
+    """A prefix key and its requests a second at one router."""
 
     key: bytes
     rate_per_s: float
@@ -32,28 +34,28 @@
 class _PeerReport:
     rates: dict[bytes, float]
     total_rate_per_s: float
-    heard_at_s: float
+    received_at_s: float
 
 
 class PrefixRates:
-    """Decayed request rates of prefix keys, own and peers'.
+    """Decayed request rates of prefix keys, at this router and its peers.
 
     Parameters
     ----------
     capacity : int
-        Keys counted; the rarest is replaced when another arrives.
+        Keys counted; the rarest is replaced when a new one arrives.
     time_constant_s : float
         Seconds in which a count decays to 1/e.  Short enough to follow a
-        shift of the hot prefixes, long enough to see a recurring one.
+        shift of the hot prefixes, long enough to detect recurring ones.
     peer_max_age_s : float
-        Age above which a silent peer's rates are ignored.
+        Seconds after which a silent peer's rates are ignored.
 
     Examples
     --------
-    >>> heat = PrefixRates(capacity=100, time_constant_s=10.0)
+    >>> hot = PrefixRates(capacity=100, time_constant_s=10.0)
     >>> for second in range(100):
-    ...     heat.add((b"a",), now_s=float(second))
-    >>> round(heat.rates((b"a", b"b"), now_s=99.0)[b"a"], 1)
+    ...     hot.add((b"a",), now_s=float(second))
+    >>> round(hot.rates((b"a", b"b"), now_s=99.0)[b"a"], 1)
     1.1
     """
 
@@ -85,8 +87,8 @@
     def rates(self, keys: Iterable[bytes], now_s: float) -> dict[bytes, float]:
         """Return requests a second by key, over this router and its peers.
 
-        A router that has just started knows nothing of its own; the
-        peers' rates make it place as they do from its first request.
+        A router that has just started has no rates of its own; with those
+        of its peers it places its first requests as they do.
         """
         peers = self._fresh_peers(now_s)
         return {
@@ -96,17 +98,17 @@
         }
 
     def total_rate_per_s(self, now_s: float) -> float:
-        """Return requests a second of any prefix, over all routers."""
+        """Return requests a second with any prefix, over all routers."""
         own = self._total / self._unit(now_s) / self._time_constant_s
         peers = self._fresh_peers(now_s)
         return own + sum(peer.total_rate_per_s for peer in peers)
 
     def own_total_rate_per_s(self, now_s: float) -> float:
-        """Return requests a second that this router alone has seen."""
+        """Return requests a second with any prefix, at this router."""
         return self._total / self._unit(now_s) / self._time_constant_s
 
     def hottest(self, count: int, now_s: float) -> tuple[HotPrefix, ...]:
-        """Return this router's own hottest keys, to be told to peers."""
+        """Return this router's hottest keys, hottest first, for its peers."""
         hottest = self._order[-count:] if count else []
         return tuple(
             HotPrefix(key, self._own_rate(key, now_s))
@@ -120,7 +122,7 @@
         total_rate_per_s: float,
         now_s: float,
     ) -> None:
-        """Replace what a peer told of its own rates."""
+        """Replace the rates received from a peer."""
         rates = {prefix.key: prefix.rate_per_s for prefix in prefixes}
         self._peers[peer] = _PeerReport(rates, total_rate_per_s, now_s)
 
@@ -134,14 +136,14 @@
         self._order.add((counter.scaled, key))
 
     def _replace_rarest(self, key: bytes) -> _Counter:
-        floor = 0.0
+        inherited = 0.0
         if len(self._counters) >= self._capacity:
-            floor, rarest = self._order.pop(0)
+            inherited, rarest = self._order.pop(0)
             del self._counters[rarest]
-        # A key that takes over a counter may have been counted before and
-        # lost, so it inherits the count; what it inherits is not reported,
-        # or a flood of unique prompts would make each of them look hot.
-        counter = _Counter(floor, floor)
+        # A new key inherits the count of the key it replaces, since it may
+        # have been counted and replaced before.  The inherited part is not
+        # reported, or each prompt of a flood of unique ones would look hot.
+        counter = _Counter(inherited, inherited)
         self._counters[key] = counter
         return counter
 
@@ -149,15 +151,15 @@
         counter = self._counters.get(key)
         if counter is None:
             return 0.0
-        certain = counter.scaled - counter.scaled_error
-        return certain / self._unit(now_s) / self._time_constant_s
+        scaled = counter.scaled - counter.scaled_error
+        return scaled / self._unit(now_s) / self._time_constant_s
 
     def _fresh_peers(self, now_s: float) -> list[_PeerReport]:
         oldest_s = now_s - self._peer_max_age_s
         self._peers = {
             name: report
             for name, report in self._peers.items()
-            if report.heard_at_s >= oldest_s
+            if report.received_at_s >= oldest_s
         }
         return list(self._peers.values())
 
