--- a/toucanrudder/membership/tests/test_routers.py
+++ b/toucanrudder/membership/tests/test_routers.py
@@ -101,7 +101,7 @@
     min_live = min(
         table.live_count(now_s)
         for now_s, tables in simulate_gossip(
-            82, client.MAX_PEERS_OF_MANY, node.MAX_TOLD_MEMBERS
+            82, client.MAX_EXCHANGES_LARGE_FLEET, node.MAX_GOSSIPED_MEMBERS
         )
         if now_s > 2 * SILENT_S
         for table in tables
--- a/toucanrudder/peers/__init__.py
+++ b/toucanrudder/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Exchange between routers, over gRPC."""
+"""Gossip and queries between routers, over gRPC."""
--- a/toucanrudder/peers/client.py
+++ b/toucanrudder/peers/client.py
@@ -1,4 +1,4 @@
-"""Exchanges heartbeats with other routers."""
+"""Calls to other routers: heartbeats, documents, changes, caps."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -17,7 +17,7 @@
 from toucanrudder.admission import caps
 from toucanrudder.document import serialisation
 from toucanrudder.membership import routers
-from toucanrudder.peers import cap_words
+from toucanrudder.peers import cap_messages
 from toucanrudder.peers import changes
 from toucanrudder.peers import credentials as peer_credentials
 from toucanrudder.peers import messages
@@ -31,144 +31,149 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Peers exchanged with in one interval.  Bounds the cost however many
-#: routers there are; what a router does not hear itself is passed on.
-MAX_PEERS = 4
+#: Exchanges that a router begins in one interval.  Bounds the cost for any
+#: number of routers; heartbeats not received directly are gossiped.
+MAX_EXCHANGES = 4
 
-#: The same where many routers live, each of which passes on more of what
-#: it has heard: an exchange costs both sides 0.8 ms, and at four in an
-#: interval 82 routers that do nothing else use two cores.
-MAX_PEERS_OF_MANY = 2
-MANY_ROUTERS = 16
+#: The same for more than `LARGE_FLEET_SIZE` peers, each of which gossips
+#: more members.  An exchange costs both sides 0.8 ms; with four in an
+#: interval, 82 otherwise idle routers would use two cores.
+MAX_EXCHANGES_LARGE_FLEET = 2
+LARGE_FLEET_SIZE = 16
 
-#: The same when there is news that cannot wait.
-MAX_PEERS_FOR_NEWS = 8
+#: The same when there is urgent news.
+MAX_EXCHANGES_URGENT = 8
 
-#: Part of the interval within which a peer that was heard is left out: an
-#: exchange tells both sides, so one of the two has to begin it.
-HEARD_SHARE = 0.7
+#: Fraction of the interval for which a peer is skipped after an exchange:
+#: an exchange informs both sides, so only one of them has to begin it.
+RECENT_FRACTION = 0.7
 
-#: Peers told of urgent news; in larger fleets the exchanges carry it on.
-MAX_TOLD = 32
+#: Receivers of a broadcast; in larger fleets the exchanges pass it on.
+MAX_BROADCAST_PEERS = 32
 
-#: Time for which urgent news waits for more of it.
-GATHER_S = 0.02
+#: Time for which urgent news is batched before it is broadcast.
+BROADCAST_BATCHING_S = 0.02
 
-#: Peers of many with which exchanges are begun.  Always the same ones, as
-#: ranked by this router's name: a channel costs both sides more than an
-#: exchange does, and so few carry a word to all as fast as all would.
+#: Peers with which a router of a large fleet begins exchanges.  They are
+#: always the same, by rendezvous hashing of this router's name, as a new
+#: channel costs both sides more than an exchange.  With so few, gossip
+#: spreads as fast as with all.
 PARTNERS = 16
 
-#: Channels kept open, beside those that are being used.
+#: Channels kept open, in addition to those in use.
 MAX_CHANNELS = 64
 
-#: A document may be a megabyte, and a peer slow.
-DOCUMENT_S = 5.0
+#: Deadline for fetching a document of up to a megabyte from a slow peer.
+DOCUMENT_TIMEOUT_S = 5.0
 
-#: Least time between two rounds that news calls for.
-HASTE_S = 0.05
+#: Shortest time between two rounds, also for urgent news.
+MIN_ROUND_INTERVAL_S = 0.05
 
 
 @attrs.define(eq=False)
-class _Lent:
-    """A channel, and how many calls wait on it."""
+class _PooledChannel:
+    """A channel and the number of calls in flight on it."""
 
     channel: aio.Channel
     calls: int = 0
-    is_dropped: bool = False
+    is_discarded: bool = False
 
 
 class ChannelPool:
     """Channels to peers, by address; a failed one is not used again.
 
-    Failure: a channel is closed, since another call on it has failed or
-    since it was the oldest of many, while a question for changes waits on
-    it.  The library cancels that question, and a cancellation passes
-    through every layer as if the router itself stopped.  Symptom: the task
-    that follows the registry ends, and what it keeps stays as it is.  So a
-    channel is closed by the last call that uses it; each has a deadline.
+    A channel is discarded when a call on it has failed, or when it is the
+    oldest of too many, and closed by the last call in flight on it; each
+    call has a deadline.  If it were closed at once, gRPC would cancel the
+    other calls on it.  A cancelled query for changes looks like the stop
+    of the router itself: the task that watches the registry would end, and
+    its table would never be updated again.
 
     Parameters
     ----------
     credentials : peer_credentials.Credentials or None
-        For mutual TLS.
+        Credentials for mutual TLS.
     """
 
     def __init__(self, credentials: peer_credentials.Credentials | None):
         self._credentials = credentials
-        self._channels: dict[str, _Lent] = {}
+        self._channels: dict[str, _PooledChannel] = {}
 
     def _open(self, address: str) -> aio.Channel:
         if self._credentials is None:
-            return aio.insecure_channel(address, compression=server.PACKED)
+            return aio.insecure_channel(
+                address, compression=server.COMPRESSION
+            )
         options = [
             ("grpc.ssl_target_name_override", peer_credentials.PEER_NAME)
         ]
         return aio.secure_channel(
-            address, self._credentials.client(), options, server.PACKED
+            address, self._credentials.client(), options, server.COMPRESSION
         )
 
     @contextlib.asynccontextmanager
     async def stub_for(
         self, address: str
     ) -> AsyncIterator[peers_pb2_grpc.PeersStub]:
-        """Lend a stub for one call to the peer at the address."""
-        lent = self._channels.pop(address, None)
-        if lent is None:
-            lent = _Lent(self._open(address))
-        # Last used comes last.
-        self._channels[address] = lent
-        lent.calls += 1
+        """Yield a stub for one call to the peer at the address."""
+        pooled = self._channels.pop(address, None)
+        if pooled is None:
+            pooled = _PooledChannel(self._open(address))
+        # The most recently used channel comes last.
+        self._channels[address] = pooled
+        pooled.calls += 1
         try:
-            await self._drop_oldest()
-            yield peers_pb2_grpc.PeersStub(lent.channel)
+            await self._discard_oldest()
+            yield peers_pb2_grpc.PeersStub(pooled.channel)
         finally:
-            lent.calls -= 1
-            await self._close_unused(lent)
+            pooled.calls -= 1
+            await self._close_unused(pooled)
 
-    async def _drop_oldest(self) -> None:
-        unused = [a for a, lent in self._channels.items() if not lent.calls]
+    async def _discard_oldest(self) -> None:
+        unused = [
+            a for a, pooled in self._channels.items() if not pooled.calls
+        ]
         for address in unused[: max(0, len(self._channels) - MAX_CHANNELS)]:
-            await self.drop(address)
+            await self.discard(address)
 
-    async def drop(self, address: str) -> None:
-        """Give the channel up, so that the next call connects anew."""
-        lent = self._channels.pop(address, None)
-        if lent is not None:
-            lent.is_dropped = True
-            await self._close_unused(lent)
+    async def discard(self, address: str) -> None:
+        """Discard the channel, so that the next call opens a new one."""
+        pooled = self._channels.pop(address, None)
+        if pooled is not None:
+            pooled.is_discarded = True
+            await self._close_unused(pooled)
 
-    async def _close_unused(self, lent: _Lent) -> None:
-        if lent.is_dropped and not lent.calls:
-            await lent.channel.close()
+    async def _close_unused(self, pooled: _PooledChannel) -> None:
+        if pooled.is_discarded and not pooled.calls:
+            await pooled.channel.close()
 
     async def close(self) -> None:
         """Close all channels."""
         for address in list(self._channels):
-            await self.drop(address)
+            await self.discard(address)
 
 
 class PeerClient:
-    """Sends heartbeats and fetches newer documents.
+    """Exchanges heartbeats with peers and fetches newer documents.
 
     Parameters
     ----------
     node : nodes.Node
-        Builds heartbeats and takes in answers.
+        Builds heartbeats and receives those of peers.
     offer : callable
-        Takes a peer's document.
+        Given a peer's document.
     seeds : iterable of str
-        ``IP:port`` of peers to begin with.
+        ``IP:port`` of the first peers to contact.
     credentials : peer_credentials.Credentials or None
-        For mutual TLS.
+        Credentials for mutual TLS.
     interval_s : float
         Seconds between two rounds.
     silent_s : float
-        Silence after which a peer counts as gone.
+        Seconds without a heartbeat after which a peer counts as dead.
     rng : random.Random
-        Chooses peers and jitter.
+        Source of jitter and of the choice of peers.
     decode : callable
-        Reads the bytes of a peer's document.
+        Decodes the bytes of a peer's document.
     """
 
     def __init__(
@@ -188,63 +193,68 @@
         self._offer = offer
         self._seeds = tuple(seeds)
         self._interval_s = interval_s
-        # A call to a silent peer must end while others still count it
-        # as live, or its first lost answer would make it gone.
+        # A call to a silent peer must end well before `silent_s`, or a
+        # single lost answer would make the peer count as dead.
         self._deadline_s = silent_s / 2
         self._rng = rng
         self._channels = ChannelPool(credentials)
         self._busy: set[str] = set()
         self._fetching = False
         self._own_addresses: set[str] = set()
-        self._haste = asyncio.Event()
-        self._heard_s: dict[str, float] = {}
+        self._urgent = asyncio.Event()
+        self._last_exchange_s: dict[str, float] = {}
         self._tasks: set[asyncio.Task] = set()
-        self._round: asyncio.Task | None = None
-        self._ranked_of: tuple[routers.Member, ...] = ()
-        self._ranked: list[str] = []
+        self._pending_broadcast: asyncio.Task | None = None
+        self._partners_of: tuple[routers.Member, ...] = ()
+        self._ranked_partners: list[str] = []
 
     def exchange_soon(self) -> None:
-        """Exchange soon: there is news that cannot wait for the interval."""
-        self._haste.set()
+        """Start the next round without waiting for the interval."""
+        self._urgent.set()
 
     async def broadcast_urgent(self, within_s: float) -> None:
-        """Tell reachable peers what cannot wait, until they have it.
+        """Send urgent news to reachable peers and wait for their answers.
 
-        Failure: many engines are about to load weights, and peers are told
-        of each by a round of its own.  Symptom: the router that gives the
-        orders does nothing else, and its callers wait.  Who asks within
-        `GATHER_S` shares a round, and a round carries nothing but news.
+        Calls within `BROADCAST_BATCHING_S` share a broadcast, which holds
+        urgent news only.  With a broadcast for each of many engines that
+        are about to load weights, the router that orders them would be
+        busy with nothing else while its callers wait.
 
         Parameters
         ----------
         within_s : float
-            Longest wait; peers that are silent hold nobody up for longer.
+            Longest wait in seconds, so that silent peers delay no one
+            further.
         """
-        # One that was cancelled with all other tasks tells nobody.
-        if self._round is None or self._round.done():
-            self._round = self._start(self._told_round())
-        await asyncio.wait([self._round], timeout=within_s)
-
-    async def _told_round(self) -> None:
-        await asyncio.sleep(GATHER_S)
-        # Whoever asks from now on may have news that this one lacks.
-        self._round = None
+        # A broadcast that was cancelled with all other tasks sends nothing.
+        if self._pending_broadcast is None or self._pending_broadcast.done():
+            self._pending_broadcast = self._start(self._broadcast_round())
+        await asyncio.wait([self._pending_broadcast], timeout=within_s)
+
+    async def _broadcast_round(self) -> None:
+        await asyncio.sleep(BROADCAST_BATCHING_S)
+        # Later calls may have news that this broadcast does not contain.
+        self._pending_broadcast = None
         now_s = time.monotonic()
-        told = messages.to_wire(
+        heartbeat = messages.to_wire(
             self._node.urgent_heartbeat(now_s, time.time())
         )
-        known = self._node.table.peers(now_s)
-        chosen = self._rng.sample(known, min(len(known), MAX_TOLD))
+        candidates = self._node.table.peers(now_s)
+        chosen = self._rng.sample(
+            candidates, min(len(candidates), MAX_BROADCAST_PEERS)
+        )
         await asyncio.gather(
-            *(self._tell(member.address, told) for member in chosen)
+            *(self._tell(member.address, heartbeat) for member in chosen)
         )
 
-    async def _tell(self, address: str, told: peers_pb2.Heartbeat) -> None:
+    async def _tell(
+        self, address: str, heartbeat: peers_pb2.Heartbeat
+    ) -> None:
         try:
             async with self._channels.stub_for(address) as stub:
-                await stub.Tell(told, timeout=self._deadline_s)
+                await stub.Tell(heartbeat, timeout=self._deadline_s)
         except aio.AioRpcError as error:
-            await self._failed(address, error)
+            await self._handle_failure(address, error)
 
     async def fetch_changes(
         self,
@@ -255,12 +265,12 @@
         wait_s: float,
         deadline_s: float,
     ) -> fanout.ReaderReply | None:
-        """Ask a peer what it has read from the store after a position.
+        """Ask a peer for the changes that it read from the store.
 
         Returns
         -------
         fanout.ReaderReply or None
-            None if no answer came in time.
+            None if no valid answer came in time.
         """
         request = peers_pb2.ChangesRequest(
             kind=kind,
@@ -268,7 +278,7 @@
             era=position.era,
             wait_s=wait_s,
         )
-        return await self._asked(
+        return await self._call(
             address,
             lambda stub: stub.GetChanges(request, timeout=deadline_s),
             functools.partial(changes.from_wire, kind),
@@ -295,107 +305,114 @@
             units=units,
             is_settlement=is_settlement,
         )
-        return await self._asked(
+        return await self._call(
             address,
             lambda stub: stub.UseCap(request, timeout=deadline_s),
-            cap_words.from_wire,
+            cap_messages.from_wire,
         )
 
-    async def _asked(
+    async def _call(
         self,
         address: str,
-        ask: Callable[[peers_pb2_grpc.PeersStub], Awaitable],
-        read: Callable,
+        send: Callable[[peers_pb2_grpc.PeersStub], Awaitable],
+        decode_reply: Callable,
     ):
-        """Return what a peer answers; None if there is nothing to read."""
+        """Return a peer's decoded answer; None without a valid one."""
         try:
             async with self._channels.stub_for(address) as stub:
-                reply = await ask(stub)
-            return read(reply)
+                reply = await send(stub)
+            return decode_reply(reply)
         except (aio.AioRpcError, ValueError) as error:
-            await self._failed(address, error)
+            await self._handle_failure(address, error)
             return None
 
     def handle_heartbeat(self, heartbeat: messages.Heartbeat) -> None:
-        """Fetch the sender's document if it is newer."""
-        self._heard_s[heartbeat.sender.address] = time.monotonic()
+        """Note a received heartbeat; fetch the sender's document if newer."""
+        self._last_exchange_s[heartbeat.sender.address] = time.monotonic()
         if heartbeat.generation > self._node.generation():
             self._start_fetch(heartbeat.sender.address)
 
     async def run(self) -> None:
         """Exchange heartbeats until cancelled."""
         try:
-            hurried = False
+            is_urgent = False
             while True:
-                for address in self._targets(time.monotonic(), hurried):
+                for address in self._targets(time.monotonic(), is_urgent):
                     self._start(self._exchange(address))
-                hurried = await self._pause()
+                is_urgent = await self._wait_for_round()
         finally:
             for task in list(self._tasks):
                 task.cancel()
             await asyncio.gather(*self._tasks, return_exceptions=True)
             await self._channels.close()
 
-    async def _pause(self) -> bool:
-        """Wait for the next round; say whether news called for it."""
-        await asyncio.sleep(HASTE_S)
+    async def _wait_for_round(self) -> bool:
+        """Wait for the next round; return whether urgent news started it."""
+        await asyncio.sleep(MIN_ROUND_INTERVAL_S)
         # Jitter keeps routers that started together from exchanging in
-        # step for ever.
-        wait_s = self._interval_s * self._rng.uniform(0.8, 1.0) - HASTE_S
+        # lockstep.
+        wait_s = (
+            self._interval_s * self._rng.uniform(0.8, 1.0)
+            - MIN_ROUND_INTERVAL_S
+        )
         try:
             async with asyncio.timeout(max(0.0, wait_s)):
-                await self._haste.wait()
+                await self._urgent.wait()
             return True
         except TimeoutError:
             return False
         finally:
-            self._haste.clear()
+            self._urgent.clear()
 
-    def _targets(self, now_s: float, hurried: bool) -> list[str]:
+    def _targets(self, now_s: float, is_urgent: bool) -> list[str]:
         peers = self._node.table.peers(now_s)
-        are_many = len(peers) > MANY_ROUTERS
-        room = MAX_PEERS_OF_MANY if are_many else MAX_PEERS
-        if hurried:
-            room = MAX_PEERS_FOR_NEWS
-        strangers = self._strangers(peers)
-        known = self._partners(peers)
-        if not hurried:
-            known = self._unheard(known, now_s)
-        # One place is kept for a seed not heard of: two groups of
-        # routers that lost each other must find each other again.
-        kept = 1 if strangers else 0
-        count = min(len(known), room - kept)
-        chosen = self._rng.sample(known, count)
-        count = min(len(strangers), room - len(chosen))
-        chosen += self._rng.sample(strangers, count)
+        is_large_fleet = len(peers) > LARGE_FLEET_SIZE
+        max_exchanges = (
+            MAX_EXCHANGES_LARGE_FLEET if is_large_fleet else MAX_EXCHANGES
+        )
+        if is_urgent:
+            max_exchanges = MAX_EXCHANGES_URGENT
+        unknown_seeds = self._unknown_seeds(peers)
+        candidates = self._partners(peers)
+        if not is_urgent:
+            candidates = self._without_recent_exchange(candidates, now_s)
+        # One exchange is reserved for a seed that is not a known peer, so
+        # that two partitions of the fleet find each other again.
+        reserved = 1 if unknown_seeds else 0
+        count = min(len(candidates), max_exchanges - reserved)
+        chosen = self._rng.sample(candidates, count)
+        count = min(len(unknown_seeds), max_exchanges - len(chosen))
+        chosen += self._rng.sample(unknown_seeds, count)
         return [address for address in chosen if address not in self._busy]
 
-    def _strangers(self, peers: tuple[routers.Member, ...]) -> list[str]:
-        """Return the seeds that have not been heard of."""
-        known = {each.address for each in peers} | self._own_addresses
+    def _unknown_seeds(self, peers: tuple[routers.Member, ...]) -> list[str]:
+        """Return the seeds that are not known peers."""
+        known = {peer.address for peer in peers} | self._own_addresses
         return [seed for seed in self._seeds if seed not in known]
 
     def _partners(self, peers: tuple[routers.Member, ...]) -> list[str]:
-        """Return the addresses with which exchanges are begun."""
-        if len(peers) <= MANY_ROUTERS:
-            return [each.address for each in peers]
-        if peers is not self._ranked_of:
-            # One that comes or goes takes the place of one partner.
-            addresses = {each.name: each.address for each in peers}
+        """Return the addresses of the peers to begin exchanges with."""
+        if len(peers) <= LARGE_FLEET_SIZE:
+            return [peer.address for peer in peers]
+        if peers is not self._partners_of:
+            # A router that joins or leaves replaces at most one partner.
+            addresses = {peer.name: peer.address for peer in peers}
             key = self._node.name.encode()[:64]
             names = rendezvous.ranked(key, addresses)[:PARTNERS]
-            self._ranked = [addresses[name] for name in names]
-            self._ranked_of = peers
-        return self._ranked
-
-    def _unheard(self, known: list[str], now_s: float) -> list[str]:
-        """Return the peers that were not heard lately; forget others."""
-        self._heard_s = {
-            address: heard_s
-            for address, heard_s in self._heard_s.items()
-            if now_s - heard_s < HEARD_SHARE * self._interval_s
+            self._ranked_partners = [addresses[name] for name in names]
+            self._partners_of = peers
+        return self._ranked_partners
+
+    def _without_recent_exchange(
+        self, candidates: list[str], now_s: float
+    ) -> list[str]:
+        """Return those without a recent exchange; drop outdated times."""
+        self._last_exchange_s = {
+            address: last_s
+            for address, last_s in self._last_exchange_s.items()
+            if now_s - last_s < RECENT_FRACTION * self._interval_s
         }
-        return [each for each in known if each not in self._heard_s]
+        return [a for a in candidates if a not in self._last_exchange_s]
 
     def _start(self, coroutine) -> asyncio.Task:
         task = asyncio.ensure_future(coroutine)
@@ -413,27 +430,29 @@
                 )
             answer = messages.from_wire(answer)
         except (aio.AioRpcError, messages.BadHeartbeat) as error:
-            await self._failed(address, error)
+            await self._handle_failure(address, error)
             return
         finally:
             self._busy.discard(address)
         if self._node.is_self(answer.sender):
             self._own_addresses.add(address)
             return
-        self._heard_s[address] = time.monotonic()
+        self._last_exchange_s[address] = time.monotonic()
         self._node.receive(answer, time.monotonic(), time.time())
         if answer.generation > self._node.generation():
             self._start_fetch(address)
 
-    async def _failed(self, address: str, error: Exception) -> None:
+    async def _handle_failure(self, address: str, error: Exception) -> None:
         reason = "unreadable_answer"
         if isinstance(error, aio.AioRpcError):
             reason = error.code().name.lower()
         nodes.count_refusal(reason)
-        LOG.debug("exchange failed", extra={"peer": address, "code": reason})
-        # The connection may have gone silent for good while new ones
-        # work.  gRPC would go on using it; the next call opens another.
-        await self._channels.drop(address)
+        LOG.debug(
+            "call to peer failed", extra={"peer": address, "code": reason}
+        )
+        # The connection may be silent for good while new ones work.  gRPC
+        # would keep using it; after this the next call opens a new one.
+        await self._channels.discard(address)
 
     def _start_fetch(self, address: str) -> None:
         if not self._fetching:
@@ -444,15 +463,16 @@
         try:
             async with self._channels.stub_for(address) as stub:
                 reply = await stub.GetDocument(
-                    peers_pb2.DocumentRequest(), timeout=DOCUMENT_S
+                    peers_pb2.DocumentRequest(), timeout=DOCUMENT_TIMEOUT_S
                 )
             if reply.accepted_json:
                 self._offer(self._decode(reply.accepted_json))
         except aio.AioRpcError as error:
-            await self._failed(address, error)
+            await self._handle_failure(address, error)
         except Exception:
-            # A peer of a newer version may hold what cannot be read here.
+            # A peer of a newer version may have a document that this
+            # version cannot read.
             nodes.count_refusal("unreadable_document")
-            LOG.exception("a peer's document cannot be read")
+            LOG.exception("document of a peer cannot be read")
         finally:
             self._fetching = False
--- a/toucanrudder/peers/credentials.py
+++ b/toucanrudder/peers/credentials.py
@@ -1,4 +1,4 @@
-"""Certificates between routers; read anew when the files change."""
+"""TLS certificates of routers, reloaded when their files change."""
 
 import logging
 import pathlib
@@ -8,16 +8,16 @@
 
 from toucanrudder import errors
 
-#: Every router's certificate carries this DNS name.  Instances are
-#: replaced at any time and come back under other addresses, so addresses
-#: would not do; and the authority's other certificates are no routers'.
+#: DNS name in every router's certificate.  Addresses would not do, as
+#: instances are replaced at any time and return with other addresses.  The
+#: name also excludes the authority's certificates for other services.
 PEER_NAME = "router.toucanrudder"
 
 LOG = logging.getLogger(__name__)
 
 
 @attrs.frozen
-class Files:
+class PemFiles:
     """Contents of the three PEM files."""
 
     certificate: bytes
@@ -26,7 +26,7 @@
 
 
 class Credentials:
-    """Mutual TLS from files that are renewed while the router runs.
+    """Credentials for mutual TLS, reloaded while the router runs.
 
     Parameters
     ----------
@@ -36,32 +36,32 @@
 
     def __init__(self, certificate: str, key: str, authority: str):
         self._paths = (certificate, key, authority)
-        self._stamp: tuple = ()
+        self._file_stamps: tuple = ()
         self._files = self._read()
 
-    def _read(self) -> Files:
-        self._stamp = self._stamps()
-        return Files(*(pathlib.Path(p).read_bytes() for p in self._paths))
+    def _read(self) -> PemFiles:
+        self._file_stamps = self._current_stamps()
+        return PemFiles(*(pathlib.Path(p).read_bytes() for p in self._paths))
 
-    def _stamps(self) -> tuple:
+    def _current_stamps(self) -> tuple:
         stats = [pathlib.Path(path).stat() for path in self._paths]
         return tuple((s.st_mtime_ns, s.st_size, s.st_ino) for s in stats)
 
-    def files(self) -> Files:
-        """Return the files' contents, read anew if they have changed."""
+    def files(self) -> PemFiles:
+        """Return the files' contents, reloaded if they have changed."""
         try:
-            if self._stamps() != self._stamp:
+            if self._current_stamps() != self._file_stamps:
                 self._files = self._read()
-                LOG.info("peers' certificates were read anew")
+                LOG.info("TLS certificates for peers were reloaded")
         except OSError:
-            # Renewal replaces three files one by one.  The old ones stay
-            # in use until all can be read; a mixture fails the next
-            # handshakes only and is corrected by the next reading.
-            LOG.exception("peers' certificates cannot be read")
+            # Renewal replaces the three files one by one.  The old contents
+            # stay in use until all can be read.  A mixture of old and new
+            # only fails handshakes until the next reload.
+            LOG.exception("TLS certificates for peers cannot be read")
         return self._files
 
     def server(self) -> grpc.ServerCredentials:
-        """Return credentials that demand a certificate of each client."""
+        """Return credentials that require a certificate of each client."""
 
         def configuration() -> grpc.ServerCertificateConfiguration:
             files = self.files()
@@ -84,7 +84,7 @@
 
 
 def from_settings(peers) -> Credentials | None:
-    """Return the credentials that settings name, or None for none.
+    """Return the credentials of the settings, or None if none are set.
 
     Parameters
     ----------
@@ -101,7 +101,8 @@
         return None
     if not all(paths):
         raise _invalid(
-            "tls_certificate, tls_key and tls_authority of [peers] go together"
+            "[peers]: tls_certificate, tls_key and tls_authority must be set "
+            "together"
         )
     try:
         return Credentials(*paths)
--- a/toucanrudder/peers/messages.py
+++ b/toucanrudder/peers/messages.py
@@ -1,4 +1,4 @@
-"""What routers tell each other, as typed values, and its wire form."""
+"""Heartbeats between routers, as typed values and in wire form."""
 
 import math
 
@@ -9,35 +9,35 @@
 from toucanrudder.prefix import request_rates
 from toucanrudder.quarantine import entry
 
-#: Entries of each list that are read from one heartbeat; a peer's fault
-#: must not fill this router's memory.
+#: Entries of each list that are read from one heartbeat; bounds the memory
+#: that a faulty peer can fill.
 MAX_MEMBERS = 64
 MAX_LOADS = 4096
 MAX_QUARANTINE = 4096
 MAX_HOT = 256
 MAX_DIGEST = 1024
 
-#: What no router can have at one upstream.
-MOST_TOKENS = 1_000_000_000
-MOST_REQUESTS = 1_000_000
+#: Largest plausible load of one router at one upstream.
+MAX_PREFILL_TOKENS = 1_000_000_000
+MAX_REQUESTS = 1_000_000
 
 
 class BadHeartbeat(Exception):
-    """A heartbeat does not say who sent it or holds what cannot be."""
+    """A heartbeat without a sender, or with an invalid value."""
 
 
 @attrs.frozen
 class UpstreamLoad:
-    """A router's own work at one upstream.
+    """A router's own load at one upstream.
 
     Parameters
     ----------
     upstream : str
-        Its name.
+        Name of the upstream.
     prefill_tokens : int
-        Prompt tokens sent there that have given no first token yet.
+        Prompt tokens sent there without a first token yet.
     requests : int
-        Requests that are there now.
+        Requests in flight there.
     """
 
     upstream: str
@@ -47,14 +47,14 @@
 
 @attrs.frozen
 class Avoided:
-    """An upstream's process that takes no work for a while.
+    """An upstream process that is given no work for some time.
 
     Parameters
     ----------
     upstream : str
         Identity of the process.
     for_s : float
-        Seconds from the sending of the message.
+        Seconds, counted from the sending of the message.
     """
 
     upstream: str
@@ -63,7 +63,7 @@
 
 @attrs.frozen
 class Weights:
-    """The newest version that was named of a model's weights."""
+    """The newest version of a model's weights named in the store."""
 
     model: str
     version: int
@@ -71,14 +71,14 @@
 
 @attrs.frozen
 class Served:
-    """A time in which the registry served some router or other.
+    """A period in which the registry served calls of some router.
 
     Parameters
     ----------
     for_s : float
-        How long it is.
+        Length of the period in seconds.
     age_s : float
-        Time since the last call that was served.
+        Seconds since the last call that was served.
     """
 
     for_s: float
@@ -87,38 +87,38 @@
 
 @attrs.frozen
 class Heartbeat:
-    """One router's word to another.
+    """Periodic message of one router to another.
 
     Parameters
     ----------
     sender : routers.Member
-        Who says it.
+        The sending router.
     generation : int
-        Generation of the document in force there; 0 for none.
+        Generation of the sender's document in force; 0 for none.
     loads : tuple of UpstreamLoad
-        The sender's own work.
+        The sender's own load at upstreams.
     quarantine : tuple of entry.Entry
-        Facts about crashes.
+        Quarantine entries about crashes.
     hot_prefixes : tuple of request_rates.HotPrefix
         The sender's own hottest prefixes.
     total_rate_per_s : float
-        Requests a second that the sender sees.
+        Requests a second that the sender receives.
     members : tuple of routers.Member
-        Some routers that the sender has heard of.
+        Some routers that the sender knows.
     want_all : bool
         Whether the sender asks for all quarantine entries.
     leaving_upstreams : tuple of str
-        Processes of upstreams that have said that they leave.
+        Upstream processes that have announced that they leave.
     avoided : tuple of Avoided
-        Processes of upstreams that take no work for a while.
+        Upstream processes that are given no work for some time.
     weights : tuple of Weights
-        The newest weights that have been named.
+        The newest weights versions named in the store.
     registry : Served or None
-        When the registry served the sender, or others that it has heard.
+        When the registry last served the sender or a router known to it.
     digest : routers.Digest
-        How far routers have come that the sender has heard of.
+        Newest beats of routers that the sender knows.
     wanted : tuple of int
-        Keys, as in digests, of routers that the sender does not know.
+        Digest keys of routers that the sender does not know.
     """
 
     sender: routers.Member
@@ -190,12 +190,12 @@
     Raises
     ------
     BadHeartbeat
-        It names no sender, or holds an unknown kind, a rate that is not
-        finite, a negative duration, more work than there can be, or half a
-        digest.
+        The sender is missing, a kind is unknown, a rate is not finite, a
+        duration is negative, a load is implausibly large, or the digest is
+        too long or has different numbers of keys and beats.
     """
     if not message.sender.name or not message.sender.address:
-        raise BadHeartbeat("it names no sender")
+        raise BadHeartbeat("the sender's name or address is missing")
     try:
         return Heartbeat(
             sender=_member_from_wire(message.sender),
@@ -243,8 +243,8 @@
 def _served_from_wire(message: peers_pb2.Heartbeat) -> Served | None:
     if not message.HasField("registry"):
         return None
-    told = message.registry
-    return Served(_duration_s(told.for_s), _duration_s(told.age_s))
+    served = message.registry
+    return Served(_duration_s(served.for_s), _duration_s(served.age_s))
 
 
 def _member_to_wire(member: routers.Member) -> peers_pb2.Member:
@@ -261,15 +261,18 @@
     load = UpstreamLoad(
         message.upstream, message.prefill_tokens, message.requests
     )
-    if load.prefill_tokens > MOST_TOKENS or load.requests > MOST_REQUESTS:
-        raise ValueError("more work than there can be")
+    if (
+        load.prefill_tokens > MAX_PREFILL_TOKENS
+        or load.requests > MAX_REQUESTS
+    ):
+        raise ValueError("the load at an upstream is implausibly large")
     return load
 
 
 def _digest_from_wire(message: peers_pb2.Heartbeat) -> routers.Digest:
     keys, beats = list(message.digest_keys), list(message.digest_beats)
     if len(keys) != len(beats) or len(keys) > MAX_DIGEST:
-        raise ValueError("no digest")
+        raise ValueError("the digest's keys and beats are invalid")
     return routers.Digest(keys, beats)
 
 
--- a/toucanrudder/peers/node.py
+++ b/toucanrudder/peers/node.py
@@ -1,4 +1,4 @@
-"""This router among its peers: what it tells, and what it does with news."""
+"""Builds this router's heartbeats and handles those of its peers."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -18,56 +18,58 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Routers passed on whole in one heartbeat, and those of them that are no
-#: news: who has missed one hears of it from these.
-MAX_TOLD_MEMBERS = 32
-OTHERS_TOLD = 4
+#: Members sent in full in one heartbeat, and how many of them are a sample
+#: of all, for peers that missed an announcement.
+MAX_GOSSIPED_MEMBERS = 32
+SAMPLED_MEMBERS = 4
 
-#: Unknown routers that one heartbeat asks for; the answer tells them whole.
+#: Unknown routers requested by one heartbeat; the answer has them in full.
 MAX_WANTED = 32
 
-#: Routers of which one heartbeat tells how far they have come.
+#: Routers whose beats are in one heartbeat's digest.
 MAX_DIGEST = 256
 
-#: Hot prefixes told in one heartbeat.
-MAX_TOLD_HOT = 32
+#: Hot prefixes in one heartbeat.
+MAX_HOT_PREFIXES = 32
 
 #: Age up to which quarantine entries go into each heartbeat, by the wall
-#: clock.  Older ones were told before, or are asked for with `want_all`.
-LATEST_S = 30.0
+#: clock.  Older ones were sent before, or are requested with `want_all`.
+RECENT_ENTRY_S = 30.0
 
-#: Heartbeats between two in which all quarantine entries are asked for.
-ASK_ALL_EVERY = 120
+#: One in this many heartbeats requests all quarantine entries.
+WANT_ALL_EVERY = 120
 
 
 @attrs.define
 class HeartbeatHooks:
-    """Where a heartbeat's content comes from and where news goes.
+    """Sources of a heartbeat's content, and callbacks for received ones.
 
     Parameters
     ----------
     loads : callable
-        Returns this router's own work at upstreams.
+        Returns this router's own load at upstreams.
     quarantine : callable
-        Given the wall clock, returns all entries.
+        Given the wall clock, returns all quarantine entries.
     leaving : callable
-        Says whether this router is stopping.
+        Returns whether this router is stopping.
     hot_prefixes : callable
-        Given a count and the monotonic time, returns the hottest.
+        Given a count and the monotonic time, returns as many of the
+        hottest prefixes.
     total_rate_per_s : callable
-        Given the monotonic time, returns this router's own rate.
-    merge : callable
-        Takes quarantine entries and the wall clock.
-    hot : callable
-        Takes a peer's name, prefixes, total rate and monotonic time.
+        Given the monotonic time, returns this router's own request rate.
+    on_quarantine : callable
+        Given a peer's quarantine entries and the wall clock.
+    on_hot_prefixes : callable
+        Given a peer's name, hot prefixes and total rate, and the monotonic
+        time.
     leaving_upstreams, avoided : callable
-        Given the monotonic time, return what is told of upstreams.
+        Given the monotonic time, return these fields of the heartbeat.
     registry : callable
         Given the monotonic time, returns when the registry served calls.
     weights : callable
-        Returns the newest weights that have been named.
-    upstream_news : callable
-        Takes a heartbeat and the monotonic time.
+        Returns the newest weights versions named in the store.
+    on_upstream_news : callable
+        Given a peer's heartbeat and the monotonic time.
     """
 
     loads: Callable[[], tuple[messages.UpstreamLoad, ...]] = tuple
@@ -93,7 +95,7 @@
 
 
 class Document(Protocol):
-    """A configuration of any form that has a generation."""
+    """A configuration document of any type that has a generation."""
 
     @property
     def generation(self) -> int:
@@ -101,7 +103,7 @@
 
 
 class Node:
-    """Builds this router's heartbeats and takes in others'.
+    """Builds this router's heartbeats and handles those of peers.
 
     Parameters
     ----------
@@ -110,15 +112,15 @@
     incarnation : int
         Start of this process, milliseconds since the epoch.
     table : routers.RouterTable
-        Written here only.
+        Known routers; updated only here.
     loads : peer_loads.PeerLoads
-        Written here only.
+        Load of other routers; updated only here.
     current : callable
         Returns the document in force, or None.
-    sources : Sources
-        The rest.
+    hooks : HeartbeatHooks
+        Sources and callbacks for the other fields.
     rng : random.Random
-        Chooses which members are passed on.
+        Chooses the members to gossip.
     """
 
     def __init__(
@@ -145,7 +147,7 @@
         table.set_own_identity(name, incarnation)
 
     def generations(self, now_s: float) -> dict[str, int]:
-        """Return the generation last told by each reachable router."""
+        """Return the generation last reported by each reachable router."""
         known = {member.name for member in self.table.reachable(now_s)}
         self._generations = {
             name: generation
@@ -159,7 +161,7 @@
         return acceptance.generation_of(self.current())
 
     def is_self(self, member: routers.Member) -> bool:
-        """Say whether the member is this process."""
+        """Return whether the member is this process."""
         return (member.name, member.incarnation) == (
             self.name,
             self._incarnation,
@@ -170,7 +172,7 @@
         now_s: float,
         wall_s: float,
         *,
-        tell_all: bool = False,
+        all_entries: bool = False,
         wanted: Sequence[int] = (),
     ) -> messages.Heartbeat:
         """Return the next heartbeat.
@@ -179,41 +181,41 @@
         ----------
         now_s, wall_s : float
             Monotonic time and wall clock.
-        tell_all : bool
-            Whether all quarantine entries are told, as a peer has asked.
+        all_entries : bool
+            Whether to send all quarantine entries, as the peer requested.
         wanted : sequence of int
-            Keys of routers that a peer asks for.
+            Digest keys of routers that the peer requested.
         """
         members = self.table.members_to_gossip(
-            MAX_TOLD_MEMBERS, OTHERS_TOLD, now_s, self._rng
+            MAX_GOSSIPED_MEMBERS, SAMPLED_MEMBERS, now_s, self._rng
         ) + self.table.members_by_key(wanted[:MAX_WANTED], now_s)
         self._heartbeats += 1
         return attrs.evolve(
-            self.urgent_heartbeat(now_s, wall_s, tell_all=tell_all),
+            self.urgent_heartbeat(now_s, wall_s, all_entries=all_entries),
             loads=self._hooks.loads(),
-            hot_prefixes=self._hooks.hot_prefixes(MAX_TOLD_HOT, now_s),
+            hot_prefixes=self._hooks.hot_prefixes(MAX_HOT_PREFIXES, now_s),
             total_rate_per_s=self._hooks.total_rate_per_s(now_s),
             members=members,
-            want_all=self._heartbeats % ASK_ALL_EVERY == 1,
+            want_all=self._heartbeats % WANT_ALL_EVERY == 1,
             digest=self.table.digest(MAX_DIGEST, now_s, self._rng),
             wanted=self.table.missing_keys(MAX_WANTED, now_s),
         )
 
     def urgent_heartbeat(
-        self, now_s: float, wall_s: float, *, tell_all: bool = False
+        self, now_s: float, wall_s: float, *, all_entries: bool = False
     ) -> messages.Heartbeat:
-        """Return the part of the next heartbeat that cannot wait.
+        """Return the next heartbeat with its urgent fields only.
 
         Parameters
         ----------
-        now_s, wall_s, tell_all
-            As of `heartbeat`.
+        now_s, wall_s, all_entries
+            As for `heartbeat`.
         """
         self._beat += 1
         entries = self._hooks.quarantine(wall_s)
-        if not tell_all:
-            latest_s = wall_s - LATEST_S
-            entries = tuple(e for e in entries if e.at_s >= latest_s)
+        if not all_entries:
+            oldest_s = wall_s - RECENT_ENTRY_S
+            entries = tuple(e for e in entries if e.at_s >= oldest_s)
         return messages.Heartbeat(
             sender=routers.Member(
                 self.name,
@@ -233,7 +235,7 @@
     def receive(
         self, heartbeat: messages.Heartbeat, now_s: float, wall_s: float
     ) -> None:
-        """Take in a peer's heartbeat."""
+        """Handle a peer's heartbeat."""
         sender = heartbeat.sender
         if sender.name == self.name:
             return
@@ -250,7 +252,7 @@
     def receive_urgent(
         self, heartbeat: messages.Heartbeat, now_s: float, wall_s: float
     ) -> None:
-        """Take in the part of a peer's heartbeat that could not wait."""
+        """Handle the urgent fields of a peer's heartbeat."""
         sender = heartbeat.sender
         if sender.name == self.name:
             return
@@ -269,20 +271,20 @@
     def _receive_gossip(
         self, heartbeat: messages.Heartbeat, now_s: float
     ) -> None:
-        is_good = self.table.record_digest(heartbeat.digest, now_s)
+        all_plausible = self.table.record_digest(heartbeat.digest, now_s)
         for member in heartbeat.members:
             if member.name != self.name:
-                is_good &= self.table.record_gossip(member, now_s)
-        if not is_good:
+                all_plausible &= self.table.record_gossip(member, now_s)
+        if not all_plausible:
             count_refusal("impossible_member")
             LOG.warning(
-                "a peer tells of routers that cannot be",
+                "implausible heartbeat state of routers gossiped by a peer",
                 extra={"peer": heartbeat.sender.name},
             )
 
 
 def count_refusal(reason: str) -> None:
-    """Count what was refused of a peer, or a call that failed."""
+    """Count a refused message of a peer, or a failed call to one."""
     metrics.counter(
         "toucanrudder_peer_refusals", "Refused or failed calls of peers"
     ).add(1, {"reason": reason})
--- a/toucanrudder/peers/peering.py
+++ b/toucanrudder/peers/peering.py
@@ -1,4 +1,4 @@
-"""This router's listener for peers, and its own calls to them."""
+"""Combines this router's server for peers with its client."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,16 +17,16 @@
 
 
 class PeerService(aiomisc.Service):
-    """Serves peers.
+    """Service that listens for peers.
 
     Parameters
     ----------
     peering : Peering
-        What is served.
+        Node and client to serve.
     host : str
         IP address.
     port : int
-        TCP port; 0 picks a free one, told by `address`.
+        TCP port; 0 picks a free one, see `address`.
     """
 
     peering: "Peering"
@@ -51,24 +51,24 @@
 
 @attrs.define(eq=False)
 class Peering:
-    """The node with its client, and what both share.
+    """A node with its client, and their shared options.
 
     Parameters
     ----------
     node : nodes.Node
-        This router among its peers.
+        Builds and handles heartbeats.
     client : peer_clients.PeerClient
-        Its own calls.
+        Calls to peers.
     credentials : peer_credentials.Credentials or None
-        For mutual TLS.
+        Credentials for mutual TLS.
     advertise : str
-        Address that peers are told, or empty for the one bound.
+        Address announced to peers; empty for the bound one.
     encode : callable
-        Returns the bytes of the document in force.
+        Encodes the document in force.
     logs : mapping of str to fanout.ChangeLog
-        What this router has read from the store, by kind.
+        Changes that this router has read from the store, by kind.
     answer_cap : callable
-        Answers for the usage caps that this router owns.
+        Decides on the usage caps that this router owns.
     """
 
     node: nodes.Node
@@ -77,7 +77,7 @@
     advertise: str
     encode: Callable[[nodes.Document], bytes] = serialisation.encode
     logs: Mapping[str, fanout.ChangeLog] = attrs.field(factory=dict)
-    answer_cap: peer_servers.AnswerCap = peer_servers.owns_no_cap
+    answer_cap: peer_servers.AnswerCap = peer_servers.no_caps_owned
     _bound: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     @contextlib.asynccontextmanager
@@ -98,6 +98,6 @@
             yield address
 
     async def run(self) -> None:
-        """Exchange with peers, once they can be told an address."""
+        """Exchange with peers, once an address is bound."""
         await self._bound.wait()
         await self.client.run()
--- a/toucanrudder/peers/tests/test_peers.py
+++ b/toucanrudder/peers/tests/test_peers.py
@@ -19,11 +19,11 @@
 from toucanrudder.quarantine import entry
 from toucanrudder.testing import proxy as proxies
 
-WITHIN_S = 30
+TIMEOUT_S = 30
 
 
 class Router:
-    """A node with its server, client and tables, in the test's loop."""
+    """A node with its server, client and tables, in the test's event loop."""
 
     def __init__(self, name, generation=0, silent_s=1.0):
         self.table = routers.RouterTable(silent_s)
@@ -89,12 +89,12 @@
 
 
 async def until(condition):
-    async with asyncio.timeout(WITHIN_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.01)
 
 
-async def test_routers_hear_of_each_other_and_take_the_newest_document():
+async def test_routers_discover_each_other_and_adopt_the_newest_document():
     one, two, three = Router("r1", 3), Router("r2", 5), Router("r3")
     two.own = (messages.UpstreamLoad("e1", 4000, 2),)
     crash = entry.Entry(entry.Kind.CRASH, "f", 1.0, "e1", "i1", True)
@@ -116,7 +116,7 @@
         await until(lambda: one.live() == {"r3"})
 
 
-async def test_a_router_that_goes_is_noticed():
+async def test_a_stopped_router_is_detected():
     one, two = Router("r1"), Router("r2")
     async with one.running() as seed:
         async with two.running([seed]):
@@ -128,11 +128,11 @@
 
 @pytest.mark.parametrize("fault", ["freeze", "cut"])
 async def test_a_broken_connection_between_routers(fault):
-    """The routers hear each other again over a new connection.
+    """Routers lose each other as a broken connection stays in use.
 
-    All open connections are cut, or go silent for good while new ones
-    work.  Each call has a deadline; a connection on which one failed is
-    not used again, since gRPC by itself would keep the silent one.
+    All open connections are cut, or become silent for good while new ones
+    work.  Each call has a deadline, and a connection with a failed call is
+    not used again; gRPC by itself would keep using a silent one.
     """
     one, two = Router("r1"), Router("r2")
     async with contextlib.AsyncExitStack() as stack:
@@ -153,11 +153,11 @@
         await until(lambda: two.loads.requests("e1", loop.time()) == 1)
 
 
-async def test_a_slow_peer_holds_up_no_other():
-    """News reaches the fast peers while one peer answers nothing.
+async def test_a_slow_peer_delays_no_other():
+    """A peer that does not answer delays news to the other peers.
 
-    The slow peer's connection is open and silent.  Its exchange waits
-    for its deadline, and the rounds with the others go on meanwhile.
+    The slow peer's connection is open and silent.  Its exchange waits for
+    the deadline while the rounds with the other peers continue.
     """
     fast, slow, third = Router("r1"), Router("r2"), Router("r3", silent_s=60)
     async with contextlib.AsyncExitStack() as stack:
@@ -179,8 +179,8 @@
             )
 
 
-async def test_one_of_two_peers_begins_an_exchange():
-    """A peer heard a moment ago is asked only when there is news."""
+async def test_peers_to_exchange_with():
+    """A peer with a recent exchange is called only for urgent news."""
     router = Router("r1")
     peers = client.PeerClient(
         router.node,
@@ -192,29 +192,31 @@
         rng=router.rng,
     )
     addresses = [f"10.0.0.{number}:1" for number in range(20)]
-    heard = attrs.evolve(
+    heartbeat = attrs.evolve(
         HEARTBEAT, sender=routers.Member("x", addresses[3], 1)
     )
-    peers.handle_heartbeat(heard)
-    now_s = peers._heard_s[addresses[3]]
+    peers.handle_heartbeat(heartbeat)
+    now_s = peers._last_exchange_s[addresses[3]]
     for address in addresses[:4]:
         router.table.record_heartbeat(address, address, 1, now_s)
-    calm = peers._targets(now_s, hurried=False)
-    assert sorted(calm) == addresses[:3]
-    assert sorted(peers._targets(now_s, hurried=True)) == addresses[:4]
-    assert addresses[3] in peers._unheard(addresses, now_s + 0.8)
-    for address in addresses[: client.MANY_ROUTERS]:
+    targets = peers._targets(now_s, is_urgent=False)
+    assert sorted(targets) == addresses[:3]
+    assert sorted(peers._targets(now_s, is_urgent=True)) == addresses[:4]
+    assert addresses[3] in peers._without_recent_exchange(
+        addresses, now_s + 0.8
+    )
+    for address in addresses[: client.LARGE_FLEET_SIZE]:
         router.table.record_heartbeat(address, address, 1, now_s)
-    assert len(peers._targets(now_s, hurried=False)) == client.MAX_PEERS
+    assert len(peers._targets(now_s, is_urgent=False)) == client.MAX_EXCHANGES
     for address in addresses:
         router.table.record_heartbeat(address, address, 1, now_s)
-    many = peers._targets(now_s, hurried=False)
-    assert len(many) == client.MAX_PEERS_OF_MANY
-    assert len(peers._targets(now_s, hurried=True)) == 8
+    many = peers._targets(now_s, is_urgent=False)
+    assert len(many) == client.MAX_EXCHANGES_LARGE_FLEET
+    assert len(peers._targets(now_s, is_urgent=True)) == 8
 
 
 class Authority:
-    """Files of a certificate authority and one certificate of it."""
+    """A certificate authority and the files of one of its certificates."""
 
     def __init__(self, directory, name=credentials.PEER_NAME, ca=None):
         self.ca = ca or trustme.CA()
@@ -237,14 +239,16 @@
 
 
 @pytest.mark.parametrize("intruder", ["plain", "other authority", "no name"])
-async def test_who_is_not_a_router_is_refused(tmp_path, intruder):
-    """A process without a router's certificate learns and changes nothing.
+async def test_clients_without_a_router_certificate_are_refused(
+    tmp_path, intruder
+):
+    """A process without a router's certificate can read and change nothing.
 
-    It speaks without TLS, with another authority's certificate, or with
-    a certificate of the right authority that names something else.
+    It connects without TLS, with a certificate of another authority, or
+    with one of the right authority for another name.
     """
     ours = Authority(tmp_path / "ours")
-    theirs = {
+    intruder_credentials = {
         "plain": lambda: None,
         "other authority": Authority(tmp_path / "other").credentials,
         "no name": Authority(
@@ -252,17 +256,19 @@
         ).credentials,
     }[intruder]()
     one, two = Router("r1", 3), Router("r2")
-    bad = Router("bad", 9)
+    intruding_router = Router("bad", 9)
     async with contextlib.AsyncExitStack() as stack:
         seed = await stack.enter_async_context(
             one.running(tls=ours.credentials())
         )
         refusals = []
-        drop = client.ChannelPool.drop
-        await stack.enter_async_context(bad.running([seed], theirs))
-        bad.client._channels.drop = lambda address: (
+        discard = client.ChannelPool.discard
+        await stack.enter_async_context(
+            intruding_router.running([seed], intruder_credentials)
+        )
+        intruding_router.client._channels.discard = lambda address: (
             refusals.append(address),
-            drop(bad.client._channels, address),
+            discard(intruding_router.client._channels, address),
         )[1]
         await until(lambda: len(refusals) > 2)
         await stack.enter_async_context(
@@ -270,16 +276,17 @@
         )
         await until(lambda: two.document == one.document)
         assert one.live() == {"r2"}
-        assert not bad.live()
+        assert not intruding_router.live()
         assert one.document.generation == 3
-        assert bad.document.generation == 9
+        assert intruding_router.document.generation == 9
 
 
 async def test_renewed_certificates_are_used_without_a_restart(tmp_path):
-    """Routers go on talking while the authority itself is replaced.
+    """Routers need a restart after certificates are renewed.
 
     Both certificates and the authority are replaced in the files.  New
-    handshakes read the files anew; the old authority no longer counts.
+    handshakes use the new contents; the old authority is not trusted any
+    more.
     """
     files = [Authority(tmp_path / str(i)) for i in range(2)]
     files[1].ca = files[0].ca
@@ -294,9 +301,9 @@
         )
         await until(lambda: two.live() == {"r1"})
         renewed = trustme.CA()
-        for each in files:
-            each.ca = renewed
-            each.issue()
+        for authority in files:
+            authority.ca = renewed
+            authority.issue()
         newcomer = Authority(tmp_path / "late", ca=renewed).credentials()
         await stack.enter_async_context(late.running([seed], newcomer))
         await until(lambda: late.live() == {"r1", "r2"})
@@ -315,7 +322,7 @@
 )
 
 
-def test_a_heartbeat_survives_the_wire():
+def test_heartbeat_wire_round_trip():
     wire = messages.to_wire(HEARTBEAT).SerializeToString()
     parsed = messages.peers_pb2.Heartbeat.FromString(wire)
     assert messages.from_wire(parsed) == HEARTBEAT
--- a/toucanrudder/peers/tests/test_questions.py
+++ b/toucanrudder/peers/tests/test_questions.py
@@ -1,4 +1,4 @@
-"""Questions between routers that end because their channel was closed."""
+"""Queries between routers whose channel is closed meanwhile."""
 
 import asyncio
 import random
@@ -16,30 +16,30 @@
 
 KIND = "upstreams"
 POSITION = feed.Position(era=1, revision=10)
-LONG_S = 20.0
+LONG_DEADLINE_S = 20.0
 
 
 class Log(fanout.ChangeLog):
-    """Never has news; notes that somebody waits for some."""
+    """A change log that never changes and records that a query waits."""
 
     def __init__(self):
         super().__init__()
         self.reset(feed.Snapshot((), POSITION), 0.0)
-        self.is_asked = asyncio.Event()
+        self.has_waiter = asyncio.Event()
 
     async def wait(self, position, wait_s):
-        self.is_asked.set()
+        self.has_waiter.set()
         await super().wait(position, wait_s)
 
 
 class Fleet:
-    """A router, and two that it asks."""
+    """A router and two peers that it queries."""
 
     def __init__(self):
-        asker = test_peers.Router("r0")
+        querying_router = test_peers.Router("r0")
         self.client = client.PeerClient(
-            asker.node,
-            asker.offer,
+            querying_router.node,
+            querying_router.offer,
             (),
             None,
             interval_s=0.1,
@@ -53,59 +53,62 @@
         logs = {KIND: self.logs[number]}
         return server.serve(node, "127.0.0.1", 0, None, logs=logs)
 
-    async def ask(self, address, position=POSITION, deadline_s=LONG_S):
+    async def query(
+        self, address, position=POSITION, deadline_s=LONG_DEADLINE_S
+    ):
         return await self.client.fetch_changes(
             address, KIND, position, wait_s=1.0, deadline_s=deadline_s
         )
 
 
-async def another_call_to_the_peer_fails(fleet, first, second):
-    await fleet.ask(first, deadline_s=0.05)
+async def another_call_fails(fleet, first, second):
+    await fleet.query(first, deadline_s=0.05)
 
 
-async def more_peers_are_called_than_channels_are_kept(fleet, first, second):
-    await fleet.ask(second, attrs.evolve(POSITION, revision=9))
+async def the_pool_is_full(fleet, first, second):
+    await fleet.query(second, attrs.evolve(POSITION, revision=9))
 
 
-async def the_exchanges_begin_anew(fleet, first, second):
+async def the_pool_is_closed(fleet, first, second):
     await fleet.client._channels.close()
 
 
-CLOSED = [
-    the_exchanges_begin_anew,
-    another_call_to_the_peer_fails,
-    more_peers_are_called_than_channels_are_kept,
+DISCARDS = [
+    the_pool_is_closed,
+    another_call_fails,
+    the_pool_is_full,
 ]
 
 
-@pytest.mark.parametrize("close", CLOSED)
-async def test_a_question_is_answered_though_its_channel_is_given_up(
-    monkeypatch, close
+@pytest.mark.parametrize("discard", DISCARDS)
+async def test_a_query_is_answered_though_its_channel_is_discarded(
+    monkeypatch, discard
 ):
-    """A router hears of each change, whatever its other calls come to.
+    """Other calls on a channel end a query that waits on it.
 
-    A question waits at a reader for news.  Meanwhile the channel to that
-    reader is given up: an exchange on it got no answer, or so many peers
-    are called at once that the oldest channel yields.  Closed under the
-    question, it cancels it, and the task that asked ends for good.
+    While a query for changes waits, its channel is discarded: an exchange
+    on it got no answer, the pool is full, or the pool is closed.  Closing
+    the channel at once would cancel the query, and the task that sent it
+    would end for good.
     """
     monkeypatch.setattr(client, "MAX_CHANNELS", 1)
     fleet = Fleet()
     async with fleet.serve(0) as first, fleet.serve(1) as second:
-        waiting = asyncio.ensure_future(fleet.ask(first))
-        await fleet.logs[0].is_asked.wait()
-        await close(fleet, first, second)
-        ended = await asyncio.gather(waiting, return_exceptions=True)
-    assert ended == [fanout.ReaderReply(feed.Changes((), POSITION), mock.ANY)]
+        waiting = asyncio.ensure_future(fleet.query(first))
+        await fleet.logs[0].has_waiter.wait()
+        await discard(fleet, first, second)
+        results = await asyncio.gather(waiting, return_exceptions=True)
+    assert results == [
+        fanout.ReaderReply(feed.Changes((), POSITION), mock.ANY)
+    ]
 
 
 async def test_a_task_goes_on_after_a_call_that_was_cancelled(monkeypatch):
-    """What keeps a table is started again, or the table stays as it is.
+    """A controller ends for good, and its table is not updated any more.
 
-    A call inside the task is cancelled by another part of the process,
-    while nobody has cancelled the task itself.  Taken for the daemon's
-    own stop, it ends the task without a word, for as long as the process
-    lives.
+    A call inside its task is cancelled by another part of the process,
+    but not the task itself.  If the cancellation is taken for the stop of
+    the process, the task ends without a message and is not restarted.
     """
     monkeypatch.setattr(tasks, "RESTART_S", 0.0)
     runs = []
@@ -123,8 +126,8 @@
     started = asyncio.ensure_future(service.start())
     for _ in range(10):
         await asyncio.sleep(0)
-    ended = started.done()
+    has_ended = started.done()
     started.cancel()
     await asyncio.gather(started, return_exceptions=True)
-    assert not ended
+    assert not has_ended
     assert len(runs) == 2
