--- a/toucanrudder/forwarding/cache_feed.py
+++ b/toucanrudder/forwarding/cache_feed.py
@@ -63,14 +63,14 @@
         Position that the next poll starts from.
     events : tuple of cache.Event
         Stored and evicted parts, in order.
-    born_ms : int
+    started_at_ms : int
         Unix time of its start in ms; 0 if unknown.
     """
 
     epoch: int
     next: int
     events: tuple[cache.Event, ...]
-    born_ms: int = 0
+    started_at_ms: int = 0
 
 
 #: An engine or a store that reports cache events.
@@ -258,7 +258,7 @@
 
 @_is_current.register
 def _(source: model.Upstream, update: CacheUpdate) -> bool:
-    return source.is_same_start(update.born_ms)
+    return source.is_same_start(update.started_at_ms)
 
 
 @functools.lru_cache(maxsize=256)
--- a/toucanrudder/forwarding/loading.py
+++ b/toucanrudder/forwarding/loading.py
@@ -101,7 +101,7 @@
     ) -> rollout.EngineReport | None:
         """Return an engine's report; None without a current answer."""
         report = await self._dialect.report(upstream, timeout_s=CALL_TIMEOUT_S)
-        if report is None or not upstream.is_same_start(report.born_ms):
+        if report is None or not upstream.is_same_start(report.started_at_ms):
             return None
         self._on_answer()
         return report
--- a/toucanrudder/forwarding/model.py
+++ b/toucanrudder/forwarding/model.py
@@ -231,7 +231,7 @@
         Version of each model's weights.
     name : str
         Name of the process, which a restart keeps.
-    born_ms : int
+    started_at_ms : int
         Unix time of this start; 0 if unknown.
     """
 
@@ -245,7 +245,7 @@
     name: str = attrs.field(
         default=attrs.Factory(lambda self: self.incarnation, takes_self=True)
     )
-    born_ms: int = 0
+    started_at_ms: int = 0
     #: Hashable form of `weights` for frequent lookups.
     weights_key: frozenset[tuple[str, int]] = attrs.field(
         init=False,
@@ -256,7 +256,7 @@
         ),
     )
 
-    def is_same_start(self, born_ms: int) -> bool:
+    def is_same_start(self, started_at_ms: int) -> bool:
         """Whether a report with this start time is from this incarnation.
 
         A report of an earlier start may arrive late, and one of a later
@@ -266,11 +266,16 @@
 
         Examples
         --------
-        >>> this = Upstream("i@7", "s", "10.0.0.1:1", name="i", born_ms=7)
+        >>> this = Upstream(
+        ...     "i@7", "s", "10.0.0.1:1", name="i", started_at_ms=7
+        ... )
         >>> this.is_same_start(7), this.is_same_start(8), this.is_same_start(0)
         (True, False, True)
         """
-        return not (born_ms and self.born_ms) or born_ms == self.born_ms
+        return (
+            not (started_at_ms and self.started_at_ms)
+            or started_at_ms == self.started_at_ms
+        )
 
 
 @attrs.frozen
--- a/toucanrudder/forwarding/registry.py
+++ b/toucanrudder/forwarding/registry.py
@@ -144,7 +144,7 @@
             self._drop(earlier)
         self._entries[upstream.incarnation] = _Entry(upstream)
         self._by_name[upstream.name] = upstream.incarnation
-        self._newest_start_ms[upstream.name] = upstream.born_ms
+        self._newest_start_ms[upstream.name] = upstream.started_at_ms
         self._by_service = None
 
     def is_superseded(self, upstream: model.Upstream) -> bool:
@@ -154,12 +154,14 @@
         --------
         >>> registry = Registry()
         >>> late = model.Upstream("i@2", "s", "10.0.0.1:1", name="i",
-        ...     born_ms=2)
+        ...     started_at_ms=2)
         >>> registry.put(late)
-        >>> registry.is_superseded(attrs.evolve(late, born_ms=1))
+        >>> registry.is_superseded(attrs.evolve(late, started_at_ms=1))
         True
         """
-        return upstream.born_ms < self._newest_start_ms.get(upstream.name, 0)
+        return upstream.started_at_ms < self._newest_start_ms.get(
+            upstream.name, 0
+        )
 
     def _drop(self, incarnation: str) -> None:
         entry = self._entries.pop(incarnation)
--- a/toucanrudder/forwarding/rollout.py
+++ b/toucanrudder/forwarding/rollout.py
@@ -97,7 +97,7 @@
         Number of events sent so far, by ID of the running request.
     memory_share : float
         Fraction of its memory that running requests use.
-    born_ms : int
+    started_at_ms : int
         Unix time of its start in ms; 0 if unknown.
     """
 
@@ -109,7 +109,7 @@
     waiting: int = 0
     events: Mapping[str, int] = attrs.field(factory=dict)
     memory_share: float = 0.0
-    born_ms: int = 0
+    started_at_ms: int = 0
 
     def has_lost_events(self, request_id: str, received: int) -> bool:
         """Return whether the engine sent events that never arrived.
--- a/toucanrudder/forwarding/tests/test_restarts.py
+++ b/toucanrudder/forwarding/tests/test_restarts.py
@@ -15,15 +15,15 @@
 PARTS = (model.Part("a", 100),)
 
 
-def make_start(name, born_ms, version=1, leaving=False):
+def make_start(name, started_at_ms, version=1, leaving=False):
     return model.Upstream(
-        f"{name}@{born_ms}",
+        f"{name}@{started_at_ms}",
         "s",
         f"10.0.0.{name[1:]}:80",
         is_leaving=leaving,
         weights={"m": version},
         name=name,
-        born_ms=born_ms,
+        started_at_ms=started_at_ms,
     )
 
 
@@ -45,15 +45,15 @@
         self.registry = registry.Registry()
         self.cache = cache.CacheIndex()
         self.upstream_states = upstream_states.UpstreamStates()
-        self.born_ms = {"i1": 1, "i2": 1, "i3": 1}
-        self.newest_ms = dict.fromkeys(self.born_ms, 0)
+        self.started_at_ms = {"i1": 1, "i2": 1, "i3": 1}
+        self.newest_ms = dict.fromkeys(self.started_at_ms, 0)
         self.leaving: set[str] = set()
         self.versions: dict[str, int] = {}
         self.cached: set[str] = set()
         self.failed: set[str] = set()
 
     def recent_start(self, name, starts_back):
-        return make_start(name, max(1, self.born_ms[name] - starts_back))
+        return make_start(name, max(1, self.started_at_ms[name] - starts_back))
 
     def retain_known(self):
         self.upstream_states.retain(self.registry.incarnations)
@@ -63,7 +63,7 @@
 
     @stateful.rule(name=NAMES)
     def restart(self, name):
-        self.born_ms[name] += 1
+        self.started_at_ms[name] += 1
 
     @stateful.rule(
         name=NAMES,
@@ -82,9 +82,9 @@
         self.retain_known()
 
     def record_entry(self, entry):
-        if entry.born_ms < self.newest_ms[entry.name]:
+        if entry.started_at_ms < self.newest_ms[entry.name]:
             return
-        self.newest_ms[entry.name] = entry.born_ms
+        self.newest_ms[entry.name] = entry.started_at_ms
         key = entry.incarnation
         version = entry.weights["m"]
         self.versions[key] = max(version, self.versions.get(key, 0))
@@ -154,7 +154,7 @@
     def only_newest_starts_are_known(self):
         for name, newest_ms in self.newest_ms.items():
             known = self.registry.by_name(name)
-            assert known is None or known.born_ms == newest_ms
+            assert known is None or known.started_at_ms == newest_ms
         names = {each.partition("@")[0] for each in self.registry.incarnations}
         assert len(names) == len(self.registry.incarnations)
 
--- a/toucanrudder/platform/objects.py
+++ b/toucanrudder/platform/objects.py
@@ -127,7 +127,7 @@
     return model.Upstream(
         incarnation=_incarnation(stored.name, entry.born),
         name=stored.name,
-        born_ms=entry.born,
+        started_at_ms=entry.born,
         service=entry.service,
         address=entry.address,
         zone=entry.zone,
@@ -139,13 +139,13 @@
     )
 
 
-def _incarnation(name: str, born_ms: int) -> str:
+def _incarnation(name: str, started_at_ms: int) -> str:
     """Return an identity that differs for each start of an upstream.
 
     A restarted process keeps its name but loses its cache and runs, so
     state recorded for the previous start must not apply to it.
     """
-    return f"{name}@{born_ms}" if born_ms else name
+    return f"{name}@{started_at_ms}" if started_at_ms else name
 
 
 def weights_by_model(models: Iterable[records.LoadedModel]) -> dict[str, int]:
--- a/toucanrudder/platform/orders.py
+++ b/toucanrudder/platform/orders.py
@@ -55,7 +55,7 @@
         if body is None:
             return None
         return rollout.EngineReport(
-            born_ms=body.born,
+            started_at_ms=body.born,
             weights=objects.weights_by_model(body.models),
             is_busy=body.busy,
             # "seq" counts accepted orders here, but heartbeats in an
@@ -114,7 +114,7 @@
         if body is None:
             return None
         return cache_feed.CacheUpdate(
-            born_ms=body.born,
+            started_at_ms=body.born,
             epoch=body.boot_epoch,
             next=body.next,
             events=tuple(
--- a/toucanrudder/platform/tests/test_platform.py
+++ b/toucanrudder/platform/tests/test_platform.py
@@ -964,7 +964,7 @@
     site.store.put("servers", engine.incarnation, old)
     site.store.put("versions", "m", {"model": "m", "version": 2})
     await until(lambda: registry.get(second.incarnation).weights == {"m": 2})
-    assert registry.by_name(engine.incarnation).born_ms == engine.born
+    assert registry.by_name(engine.incarnation).started_at_ms == engine.born
     answer = await asked(router, b"/s/x")
     assert answer.body == EVENTS
 
--- a/toucanrudder/platform/tests/test_records.py
+++ b/toucanrudder/platform/tests/test_records.py
@@ -129,7 +129,7 @@
         False,
         {"m": 3},
         name="i1",
-        born_ms=1_700_000_000_000,
+        started_at_ms=1_700_000_000_000,
     )
     found = read_document(CONFIGURATION).configuration
     (route,) = found.routes
--- a/toucanrudder/testing/virtual/engines.py
+++ b/toucanrudder/testing/virtual/engines.py
@@ -73,7 +73,7 @@
     rng: random.Random
     clock: Callable[[], float]
     version: int = 1
-    born_ms: int = 0
+    started_at_ms: int = 0
     orders: int = 0
     highest_fence: int = 0
     is_dark: bool = False
@@ -103,7 +103,7 @@
     def _start(self) -> None:
         self.starts += 1
         self.up_since_s = self.clock()
-        self.born_ms = round(1000 * (timing.EPOCH_S + self.clock()))
+        self.started_at_ms = round(1000 * (timing.EPOCH_S + self.clock()))
         self.has_since_s.setdefault(self.version, self.clock())
         self.orders = self.highest_fence = 0
 
@@ -113,7 +113,7 @@
             "address": self.address,
             "leaving": self.is_leaving,
             "weights": {MODEL: self.version},
-            "born_ms": self.born_ms,
+            "born_ms": self.started_at_ms,
         }
 
     # Life.
@@ -168,7 +168,7 @@
             running=len(self._runs),
             reading=sum(run.read_at_s > now_s for run in self._runs),
             memory_share=len(self._runs) / SLOTS,
-            born_ms=self.born_ms,
+            started_at_ms=self.started_at_ms,
         )
 
     def report(self) -> rollout.EngineReport | None:
--- a/toucanrudder/testing/virtual/sites.py
+++ b/toucanrudder/testing/virtual/sites.py
@@ -80,7 +80,7 @@
         is_leaving=spec["leaving"],
         weights=spec["weights"],
         name=stored.name,
-        born_ms=spec["born_ms"],
+        started_at_ms=spec["born_ms"],
     )
 
 
