--- a/toucanrudder/forwarding/retry_policy.py
+++ b/toucanrudder/forwarding/retry_policy.py
@@ -136,7 +136,7 @@
 
 @attrs.define
 class Evidence:
-    """Details of an attempt for the log, besides its failure kind.
+    """Details of a failed attempt besides its failure kind.
 
     Parameters
     ----------
