--- a/toucanrudder/admission/caps.py
+++ b/toucanrudder/admission/caps.py
@@ -38,8 +38,8 @@
 
 #: A request is small up to this fraction of the permitted overdraft.
 SMALL_COST_SHARE = 0.005
-#: Fraction of the permitted overdraft by which small requests may overdraw a
-#: bucket that is already empty.
+#: Small requests are granted until a bucket is overdrawn by this fraction of
+#: the permitted overdraft.
 SMALL_OVERDRAFT_SHARE = 0.25
 
 #: Approximate retry delay of a request refused while no owner can be
--- a/toucanrudder/admission/fair.py
+++ b/toucanrudder/admission/fair.py
@@ -7,8 +7,8 @@
 
 from toucanrudder.messages import request
 
-#: Requests of service by which a lane counts as ahead for each step of lower
-#: priority of its next request.
+#: Requests added to the service of a lane, when lanes are ordered, for each
+#: step of lower priority of its next request.
 CLASS_LEAD = 16.0
 #: Seconds of waiting that outweigh one step of priority within a lane.
 AGEING_S = 5.0
--- a/toucanrudder/prefix/cache_index.py
+++ b/toucanrudder/prefix/cache_index.py
@@ -2,9 +2,9 @@
 
 Blocks are indexed by engine process, that is by upstream and incarnation,
 and the block keys depend on the organisation and the weights
-(`toucanrudder.prefix.identity`).  A lookup can therefore never return blocks
-of a dead process, of another organisation or of older weights, without any
-timely clean-up.
+(`toucanrudder.prefix.identity`).  A lookup therefore never returns blocks of
+an earlier process, of another organisation or of older weights, even before
+any clean-up.
 """
 
 import collections
--- a/toucanrudder/quarantine/suspects.py
+++ b/toucanrudder/quarantine/suspects.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from toucanrudder.quarantine import entry as entries_
+from toucanrudder.quarantine import entry as entry_types
 
 #: Age at which an entry expires.
 EXPIRY_S = 3600.0
@@ -107,11 +107,11 @@
     Examples
     --------
     >>> tracker = SuspectTracker()
-    >>> poison, other = entries_.InFlight("p"), entries_.InFlight("o")
+    >>> poison, other = entry_types.InFlight("p"), entry_types.InFlight("o")
     >>> tracker.record_crash("e1", "i1", [poison, other], now_s=0.0)
     >>> tracker.standing("o", now_s=1.0)
     <Standing.SUSPECT: 'suspect'>
-    >>> trial = entries_.InFlight("p", isolated=True)
+    >>> trial = entry_types.InFlight("p", isolated=True)
     >>> tracker.record_crash("e2", "i2", [trial], now_s=2.0)
     >>> [tracker.standing(name, now_s=3.0) for name in "po"]
     [<Standing.QUARANTINED: 'quarantined'>, <Standing.FREE: 'free'>]
@@ -128,7 +128,7 @@
         self._max_entries = max_entries
         self._settle_s = settle_s
         self._round_s = round_s
-        self._entries: dict[tuple, entries_.Entry] = {}
+        self._entries: dict[tuple, entry_types.Entry] = {}
         self._conclusions: _Conclusions | None = None
 
     def standing(self, fingerprint: str, now_s: float) -> Standing:
@@ -208,7 +208,7 @@
         return {
             entry.upstream
             for entry in self._entries.values()
-            if entry.kind is entries_.Kind.CRASH
+            if entry.kind is entry_types.Kind.CRASH
             and now_s - entry.at_s < AVOIDED_S
         }
 
@@ -226,7 +226,7 @@
         self,
         upstream: str,
         incarnation: str,
-        in_flight: Iterable[entries_.InFlight],
+        in_flight: Iterable[entry_types.InFlight],
         now_s: float,
     ) -> None:
         """Record a crash and the requests that were in flight there.
@@ -245,8 +245,8 @@
             # try at the same dead engine would quarantine the request.
             return
         crash_entries = [
-            entries_.Entry(
-                entries_.Kind.CRASH,
+            entry_types.Entry(
+                entry_types.Kind.CRASH,
                 request.fingerprint,
                 now_s,
                 upstream,
@@ -272,26 +272,28 @@
         entry, a request whose connection was lost twice would stay in
         quarantine.
         """
-        entry = entries_.Entry(
-            entries_.Kind.ALIVE, "", now_s, upstream, incarnation
+        entry = entry_types.Entry(
+            entry_types.Kind.ALIVE, "", now_s, upstream, incarnation
         )
         self.merge([entry], now_s)
 
     def record_completion(self, fingerprint: str, now_s: float) -> None:
         """Record that a suspect ran to its end without a crash."""
         if self.standing(fingerprint, now_s) is Standing.SUSPECT:
-            self._add(entries_.Kind.CLEARED, fingerprint, now_s)
+            self._add(entry_types.Kind.CLEARED, fingerprint, now_s)
 
     def release(self, fingerprint: str, now_s: float) -> None:
         """Release a request on an operator's order."""
-        self._add(entries_.Kind.RELEASED, fingerprint, now_s)
+        self._add(entry_types.Kind.RELEASED, fingerprint, now_s)
 
     def _add(
-        self, kind: entries_.Kind, fingerprint: str, now_s: float
+        self, kind: entry_types.Kind, fingerprint: str, now_s: float
     ) -> None:
-        self.merge([entries_.Entry(kind, fingerprint, now_s)], now_s)
+        self.merge([entry_types.Entry(kind, fingerprint, now_s)], now_s)
 
-    def merge(self, entries: Iterable[entries_.Entry], now_s: float) -> bool:
+    def merge(
+        self, entries: Iterable[entry_types.Entry], now_s: float
+    ) -> bool:
         """Merge entries of another router.
 
         Parameters
@@ -320,7 +322,7 @@
             self._evict_oldest()
         return has_new
 
-    def entries(self, now_s: float) -> tuple[entries_.Entry, ...]:
+    def entries(self, now_s: float) -> tuple[entry_types.Entry, ...]:
         """Return all entries that have not expired, to send to others."""
         self._expire(now_s)
         return tuple(self._entries.values())
@@ -387,9 +389,9 @@
         return self._conclusions
 
 
-def _merge(a: entries_.Entry, b: entries_.Entry) -> entries_.Entry:
+def _merge(a: entry_types.Entry, b: entry_types.Entry) -> entry_types.Entry:
     """Merge two entries with the same key; commutative and idempotent."""
-    if a.kind is entries_.Kind.CRASH:
+    if a.kind is entry_types.Kind.CRASH:
         at_s = min(a.at_s, b.at_s)
     else:
         at_s = max(a.at_s, b.at_s)
@@ -397,16 +399,16 @@
 
 
 def _conclude(
-    entries: tuple[entries_.Entry, ...], now_s: float, expiry_s: float
+    entries: tuple[entry_types.Entry, ...], now_s: float, expiry_s: float
 ) -> _Conclusions:
-    released = _latest(entries, entries_.Kind.RELEASED)
-    cleared = _latest(entries, entries_.Kind.CLEARED)
+    released = _latest(entries, entry_types.Kind.RELEASED)
+    cleared = _latest(entries, entry_types.Kind.CLEARED)
     # A process that crashed never restarts under the same incarnation.
-    alive = {e.crash for e in entries if e.kind is entries_.Kind.ALIVE}
+    alive = {e.crash for e in entries if e.kind is entry_types.Kind.ALIVE}
     crashes = [
         entry
         for entry in entries
-        if entry.kind is entries_.Kind.CRASH
+        if entry.kind is entry_types.Kind.CRASH
         and entry.crash not in alive
         and entry.at_s > released.get(entry.fingerprint, float("-inf"))
     ]
@@ -443,7 +445,7 @@
     )
 
 
-def _rank(suspected: Sequence[entries_.Entry]) -> tuple[str, ...]:
+def _rank(suspected: Sequence[entry_types.Entry]) -> tuple[str, ...]:
     # Ordered by time, so that requests of a crash that a router notices late
     # get the last ranks and do not move suspects that are already running.
     first_s: dict[str, float] = {}
@@ -459,7 +461,7 @@
 
 
 def _latest(
-    entries: Iterable[entries_.Entry], kind: entries_.Kind
+    entries: Iterable[entry_types.Entry], kind: entry_types.Kind
 ) -> dict[str, float]:
     latest: dict[str, float] = {}
     for entry in entries:
@@ -469,7 +471,7 @@
     return latest
 
 
-def _quarantined(crashes: Sequence[entries_.Entry]) -> set[str]:
+def _quarantined(crashes: Sequence[entry_types.Entry]) -> set[str]:
     """Return the requests to which two crashes are attributed.
 
     One crash proves nothing: its cause may be the hardware or any other
--- a/toucanrudder/retries/budget.py
+++ b/toucanrudder/retries/budget.py
@@ -22,9 +22,9 @@
     max_saved : float
         Most retries that the budget holds.
     initial_retries : float
-        Retries that the budget holds at the first request to the pool.  A
-        crash soon after a router's start fails a whole batch at once;
-        without these retries most of its requests would be refused.
+        Additional retries at the first request to the pool.  A crash soon
+        after a router's start fails a whole batch at once; without these
+        retries most of its requests would be refused.
 
     Examples
     --------
--- a/toucanrudder/retries/decision.py
+++ b/toucanrudder/retries/decision.py
@@ -151,7 +151,7 @@
     Retry, Continue or Refuse
         The next step.
     """
-    ran = _proven_ran(failure, answer)
+    ran = _execution(failure, answer)
     if not answer.repeatable and ran is not codes.Ran.NOT_RUN:
         return Refuse(
             CODES[failure],
@@ -188,7 +188,7 @@
     return Retry(wait_s)
 
 
-def _proven_ran(failure: Failure, answer: AnswerState) -> codes.Ran:
+def _execution(failure: Failure, answer: AnswerState) -> codes.Ran:
     if (
         failure.proves_not_run
         and not answer.may_have_run
--- a/toucanrudder/upstreams/engine.py
+++ b/toucanrudder/upstreams/engine.py
@@ -118,8 +118,8 @@
             allow_redirects=False,
             middlewares=(sending.without_resend(upstream.name),),
         )
-        async with self._open(request, upstream, call.engine_id) as answer:
-            yield answer
+        async with self._open(request, upstream, call.engine_id) as response:
+            yield response
 
     @contextlib.asynccontextmanager
     async def resume(
@@ -142,8 +142,8 @@
             allow_redirects=False,
             middlewares=(sending.without_resend(upstream.name),),
         )
-        async with self._open(request, upstream, engine_id) as answer:
-            yield answer
+        async with self._open(request, upstream, engine_id) as response:
+            yield response
 
     async def cancel(self, upstream: model.Upstream, engine_id: str) -> bool:
         """Cancel the request; return whether the engine confirmed it."""
--- a/toucanrudder/upstreams/failures.py
+++ b/toucanrudder/upstreams/failures.py
@@ -1,4 +1,4 @@
-"""Failures of tries at upstreams, and whether each proves that none ran."""
+"""Failures of tries at upstreams, and what each proves on execution."""
 
 import enum
 
