--- a/toucanrudder/controllers/configuration.py
+++ b/toucanrudder/controllers/configuration.py
@@ -235,7 +235,7 @@
         answer_lost: bool,
     ) -> bool:
         stored = self._decode(current_object)
-        outcome = acceptance.settle(accepted, stored, self._apply_ids)
+        outcome = acceptance.write_outcome(accepted, stored, self._apply_ids)
         if outcome is acceptance.Settled.DONE:
             return False
         if outcome is acceptance.Settled.LOST_RACE:
--- a/toucanrudder/controllers/tests/test_configuration.py
+++ b/toucanrudder/controllers/tests/test_configuration.py
@@ -298,7 +298,7 @@
 @pytest.mark.parametrize(("stored", "seen", "outcome"), SETTLED)
 def test_outcome_of_a_write_with_a_lost_answer(stored, seen, outcome):
     written = accepted(5, "mine")
-    assert acceptance.settle(written, stored, seen) is outcome
+    assert acceptance.write_outcome(written, stored, seen) is outcome
 
 
 SUPERSEDING = [
--- a/toucanrudder/document/acceptance.py
+++ b/toucanrudder/document/acceptance.py
@@ -82,12 +82,12 @@
     )
 
 
-def settle(
+def write_outcome(
     written: model.Accepted,
     stored: model.Accepted | None,
-    seen: dict[int, str],
+    apply_ids: dict[int, str],
 ) -> Settled:
-    """Say what became of `written`, given what the store holds now.
+    """Return the outcome of a write whose answer was lost.
 
     Parameters
     ----------
@@ -95,13 +95,14 @@
         The document whose write got no answer.
     stored : model.Accepted or None
         What the store holds now.
-    seen : dict of int to str
-        The ``apply_id`` of generations that this router has seen.
+    apply_ids : dict of int to str
+        The ``apply_id`` of each generation known to this router.
 
     Returns
     -------
     Settled
-        ``NOT_YET`` may still take effect: the write can be on its way.
+        After ``NOT_YET`` the write may still take effect, as it can be in
+        flight.
     """
     if stored is not None and stored.apply_id == written.apply_id:
         return Settled.DONE
@@ -109,7 +110,7 @@
         return Settled.NOT_YET
     if stored.generation == written.generation:
         return Settled.LOST_RACE
-    holder = seen.get(written.generation)
+    holder = apply_ids.get(written.generation)
     if holder is None:
         return Settled.UNKNOWN
     return Settled.DONE if holder == written.apply_id else Settled.LOST_RACE
--- a/toucanrudder/filters/dispatch.py
+++ b/toucanrudder/filters/dispatch.py
@@ -25,7 +25,7 @@
     except errors.RudderError as error:
         if not sink.started:
             raise
-        metrics.refused(error.code.value, error.step)
+        metrics.count_refusal(error.code.value, error.step)
         await sink.fail(error, exchange.request_id)
     return await _finished(exchange, sink)
 
@@ -59,7 +59,7 @@
 
 
 def _rejection(failure, exchange) -> web.Response:
-    metrics.refused("rejected_by_engine", model_call.STEP)
+    metrics.count_refusal("rejected_by_engine", model_call.STEP)
     return web.Response(
         body=failure.body,
         status=failure.status,
--- a/toucanrudder/filters/guard.py
+++ b/toucanrudder/filters/guard.py
@@ -68,7 +68,7 @@
 
 
 def _report(error: errors.RudderError, exchange: exchanges.Exchange) -> None:
-    metrics.refused(error.code.value, error.step)
+    metrics.count_refusal(error.code.value, error.step)
     organisation = exchange.organisation
     LOG.info(
         "refused",
--- a/toucanrudder/filters/model_call.py
+++ b/toucanrudder/filters/model_call.py
@@ -191,7 +191,7 @@
             ) from failure
         if failure.kind not in failures.PROVES_NOT_RUN:
             self.may_have_run = True
-        metrics.retried(failure.kind.value)
+        metrics.count_retry(failure.kind.value)
         return step
 
     def _decide(self, failure: failures.UpstreamFailure):
--- a/toucanrudder/filters/service.py
+++ b/toucanrudder/filters/service.py
@@ -236,7 +236,7 @@
     except sinks.CallerGone:
         raise
     except Exception:
-        metrics.refused(errors.Code.STREAM_BROKEN.value, STEP)
+        metrics.count_refusal(errors.Code.STREAM_BROKEN.value, STEP)
         if exchange.http.transport is not None:
             exchange.http.transport.abort()
         raise sinks.CallerGone(f"{peer} broke off") from None
@@ -324,7 +324,7 @@
             if failure.kind not in failures.PROVES_NOT_RUN:
                 ran = errors.Ran.UNKNOWN
             _check_may_retry(exchange, call, failure, ran)
-            metrics.retried(failure.kind.value)
+            metrics.count_retry(failure.kind.value)
 
 
 def _check_may_retry(
--- a/toucanrudder/forwarding/daemon.py
+++ b/toucanrudder/forwarding/daemon.py
@@ -200,7 +200,9 @@
             limits=self._limits,
             closing=lambda: self.state.stopping,
             refusal_body=_refusal_body,
-            refused=lambda refusal: metrics.refused(refusal.code, "read"),
+            refused=lambda refusal: metrics.count_refusal(
+                refusal.code, "read"
+            ),
             clock=clock.now_s,
         )
 
--- a/toucanrudder/forwarding/execution.py
+++ b/toucanrudder/forwarding/execution.py
@@ -375,9 +375,9 @@
             return step
         window = self.state.retries_for(self.service)
         if not window.spend(clock.now_s(), self.state.live_routers()):
-            metrics.refused("retry_budget_spent", retry_policy.STEP)
+            metrics.count_refusal("retry_budget_spent", retry_policy.STEP)
             return retry_policy.Step.GIVE_UP
-        metrics.retried(failure_kind.value)
+        metrics.count_retry(failure_kind.value)
         return step
 
     def _streamed_s(self) -> float:
--- a/toucanrudder/forwarding/forwarder.py
+++ b/toucanrudder/forwarding/forwarder.py
@@ -183,7 +183,7 @@
         summary: "_RequestSummary",
         after_s: float,
     ) -> None:
-        metrics.refused(error.code.value, error.step)
+        metrics.count_refusal(error.code.value, error.step)
         executions.record_duration(summary.kind, "refused", after_s)
         decisions.record(
             decisions.Refused(
--- a/toucanrudder/observability/decisions.py
+++ b/toucanrudder/observability/decisions.py
@@ -1,8 +1,8 @@
-"""What the forwarding path writes down: one line for each decision.
+"""Structured log events of the forwarding path, one for each decision.
 
-Each class is one kind of line; its fields are what decided, and how old
-that was.  ``docs/operators/events.md`` lists them and is checked against
-this module.  No field holds a key, a prompt or a body.
+Each class is one kind of event.  Its fields are the inputs of the decision
+and their ages.  ``docs/operators/events.md`` lists the events and is checked
+against this module.  No field holds a key, a prompt or a body.
 """
 
 import logging
@@ -14,7 +14,7 @@
 
 @attrs.frozen(kw_only=True)
 class Started:
-    """The process serves."""
+    """The router has started and serves requests."""
 
     router: str
     zone: str
@@ -22,7 +22,7 @@
 
 @attrs.frozen(kw_only=True)
 class Stopping:
-    """A planned stop has begun."""
+    """A graceful shutdown has begun."""
 
     router: str
     open_requests: int
@@ -31,7 +31,7 @@
 
 @attrs.frozen(kw_only=True)
 class Stopped:
-    """The planned stop has ended."""
+    """The graceful shutdown has ended."""
 
     router: str
     open_requests: int
@@ -39,14 +39,14 @@
 
 @attrs.frozen(kw_only=True)
 class Reloaded:
-    """The signal for new settings came; they hold from the next start."""
+    """SIGHUP was received; changed settings take effect at the next start."""
 
     router: str
 
 
 @attrs.frozen(kw_only=True)
 class ConfigurationTaken:
-    """A newer configuration is in force here."""
+    """This router has put a newer configuration into force."""
 
     generation: int
     previous: int
@@ -55,7 +55,7 @@
 
 @attrs.frozen(kw_only=True)
 class StoreLost:
-    """Calls of one kind to the store fail."""
+    """Calls to the store for objects of one kind fail."""
 
     kind: str
     error: str
@@ -63,7 +63,7 @@
 
 @attrs.frozen(kw_only=True)
 class StoreRegained:
-    """The store answers again."""
+    """Calls to the store for objects of one kind succeed again."""
 
     kind: str
     away_s: float
@@ -71,7 +71,7 @@
 
 @attrs.frozen(kw_only=True)
 class StoreRestored:
-    """The store has come back from an older copy; all is read anew."""
+    """The store was restored from an older copy; all objects are reread."""
 
     era: int
     previous: int
@@ -79,7 +79,7 @@
 
 @attrs.frozen(kw_only=True)
 class UpstreamSeen:
-    """An upstream came, leaves, or went; missing: believed for a while."""
+    """An upstream changed state; a missing one stays in use for a time."""
 
     upstream: str
     service: str
@@ -89,7 +89,7 @@
 
 @attrs.frozen(kw_only=True)
 class WeightsNamed:
-    """New weights are to be had."""
+    """A newer version of a model's weights is available."""
 
     model: str
     version: int
@@ -97,7 +97,7 @@
 
 @attrs.frozen(kw_only=True)
 class DutyChanged:
-    """This router does something for all others, or does it no more."""
+    """This router began or ceased a duty that it performs for all routers."""
 
     duty: str
     held: bool
@@ -106,14 +106,14 @@
 
 @attrs.frozen(kw_only=True)
 class BeliefsDropped:
-    """Parts kept under earlier weights are believed in no more."""
+    """Cached prefix blocks of earlier weights were dropped from the index."""
 
     parts: int
 
 
 @attrs.frozen(kw_only=True)
 class LeaseChanged:
-    """This router holds the lease for orders, or holds it no more."""
+    """This router acquired or lost the lease for load orders."""
 
     held: bool
     fencing: int
@@ -122,7 +122,7 @@
 
 @attrs.frozen(kw_only=True)
 class TurnEnded:
-    """This router gives the lease up, as it gets no further."""
+    """This router releases the lease because it cannot make progress."""
 
     reason: str
     engines_left: int
@@ -150,7 +150,7 @@
 
 @attrs.frozen(kw_only=True)
 class OrderEnded:
-    """An order is done with, or is waited for no more."""
+    """A load order has completed, or is no longer waited for."""
 
     upstream: str
     model: str
@@ -175,7 +175,7 @@
 
 @attrs.frozen(kw_only=True)
 class ControllerEnded:
-    """A controller ended though the router did not stop; it starts again."""
+    """A controller ended unexpectedly; it is restarted."""
 
     controller: str
     error: str
@@ -183,7 +183,7 @@
 
 @attrs.frozen(kw_only=True)
 class Placed:
-    """A request was given to an upstream."""
+    """A request was placed on an upstream."""
 
     request_id: str
     organisation: str
@@ -210,7 +210,7 @@
 
 @attrs.frozen(kw_only=True)
 class PartStoreSeen:
-    """A store of cached parts stopped answering, or answers again."""
+    """A KV cache store stopped answering, or answers again."""
 
     address: str
     change: str
@@ -218,7 +218,7 @@
 
 @attrs.frozen(kw_only=True)
 class TryEnded:
-    """An upstream gave no whole answer; says what follows."""
+    """An attempt got no complete answer; names the step that follows."""
 
     request_id: str
     upstream: str
@@ -237,7 +237,7 @@
 
 @attrs.frozen(kw_only=True)
 class Answered:
-    """A caller got the whole answer of an upstream."""
+    """A caller received the complete answer of an upstream."""
 
     request_id: str
     route: str
@@ -254,7 +254,7 @@
 
 @attrs.frozen(kw_only=True)
 class Refused:
-    """A caller got an answer of the router's own."""
+    """A caller received an error from the router itself."""
 
     request_id: str
     route: str
@@ -269,7 +269,7 @@
 
 @attrs.frozen(kw_only=True)
 class Capped:
-    """A request was refused, as its organisation has used up its cap."""
+    """A request was refused because of its organisation's cap."""
 
     organisation: str
     cost: float
@@ -280,7 +280,7 @@
 
 @attrs.frozen(kw_only=True)
 class CallerLeft:
-    """A caller closed before his answer was whole."""
+    """A caller disconnected before its answer was complete."""
 
     request_id: str
     route: str
@@ -314,8 +314,8 @@
     CallerLeft,
 )
 
-#: Kinds that come with each request that goes well.  They are the first
-#: to be dropped when lines come faster than they can be written.
+#: Events of each successful request.  They are the first to be dropped
+#: when lines arrive faster than they can be written.
 ROUTINE = (Placed, Answered)
 
 
@@ -324,12 +324,12 @@
 
 
 def record(event) -> None:
-    """Write the event down.
+    """Log an event.
 
     Parameters
     ----------
     event : one of KINDS
-        What was decided or has come to be believed.
+        The decision or the observed change.
     """
     if not LOG.isEnabledFor(logging.INFO):
         return
--- a/toucanrudder/observability/lines.py
+++ b/toucanrudder/observability/lines.py
@@ -1,4 +1,4 @@
-"""JSON lines on a stream that may stall: bounded, never blocking."""
+"""Non-blocking JSON log handler with a bounded queue."""
 
 import collections
 import contextlib
@@ -9,35 +9,35 @@
 
 import orjson
 
-#: Lines that wait for the writer.  At some 300 bytes a line this is a few
-#: hundred kilobytes, and a second's worth at a thousand requests a second.
-MAX_WAITING = 2048
+#: Lines that may wait for the writer thread.  At some 300 bytes a line this
+#: is a few hundred kilobytes, or one second at 1000 requests per second.
+MAX_QUEUED_LINES = 2048
 
-#: Part of the room that routine lines may fill; the rest is kept for
-#: refusals, retries and changes of belief.
+#: Share of the queue that routine lines may fill; the rest is reserved for
+#: refusals, retries and state changes.
 ROUTINE_SHARE = 0.5
 
-#: Longest text in a field.
-MAX_TEXT = 400
+#: Longest event name or message of a line, in characters.
+MAX_MESSAGE_CHARS = 400
 
 
 class LineHandler(logging.Handler):
-    """Hands lines to a thread that writes them.
+    """Log handler that writes its lines in a background thread.
 
-    When whoever reads the stream stalls, the thread waits, not the
-    router: lines that find no room are dropped and counted by kind, and
-    the count is written as soon as there is room again.
+    When the reader of the stream stalls, only the thread blocks, never
+    the router.  Lines that do not fit into the queue are dropped and
+    counted by event; the counts are written once there is room again.
 
     Parameters
     ----------
     stream : file
-        Where lines go.
+        Output stream of the lines.
     """
 
     def __init__(self, stream: TextIO):
         super().__init__()
         self._stream = stream
-        self._waiting: collections.deque[bytes] = collections.deque()
+        self._queue: collections.deque[bytes] = collections.deque()
         self._dropped: collections.Counter[str] = collections.Counter()
         self._ready = threading.Event()
         self._closed = False
@@ -47,41 +47,41 @@
         self._thread.start()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Take a record in."""
+        """Queue a record, or count it as dropped when the queue is full."""
         routine = getattr(record, "routine", False)
-        room = MAX_WAITING * (ROUTINE_SHARE if routine else 1.0)
-        if len(self._waiting) >= room:
-            self._dropped[record.getMessage()[:MAX_TEXT]] += 1
+        room = MAX_QUEUED_LINES * (ROUTINE_SHARE if routine else 1.0)
+        if len(self._queue) >= room:
+            self._dropped[record.getMessage()[:MAX_MESSAGE_CHARS]] += 1
             return
-        if self._dropped and len(self._waiting) < room / 2:
-            self._tell_dropped()
-        self._waiting.append(line(record))
+        if self._dropped and len(self._queue) < room / 2:
+            self._queue_dropped_counts()
+        self._queue.append(line(record))
         self._ready.set()
 
-    def _tell_dropped(self) -> None:
+    def _queue_dropped_counts(self) -> None:
         dropped, self._dropped = self._dropped, collections.Counter()
-        told = dict(dropped.most_common(20))
-        self._waiting.append(
-            orjson.dumps({"event": "LinesDropped", "kinds": told}) + b"\n"
+        counts = dict(dropped.most_common(20))
+        self._queue.append(
+            orjson.dumps({"event": "LinesDropped", "kinds": counts}) + b"\n"
         )
 
     def _write(self) -> None:
-        while not self._closed or self._waiting:
+        while not self._closed or self._queue:
             self._ready.wait()
             self._ready.clear()
             with contextlib.suppress(OSError, ValueError):
-                self._write_waiting()
+                self._write_queued()
 
-    def _write_waiting(self) -> None:
-        while self._waiting:
+    def _write_queued(self) -> None:
+        while self._queue:
             lines = []
-            while self._waiting and len(lines) < 64:
-                lines.append(self._waiting.popleft())
+            while self._queue and len(lines) < 64:
+                lines.append(self._queue.popleft())
             self._stream.write(b"".join(lines).decode())
             self._stream.flush()
 
     def close(self) -> None:
-        """Write what waits, unless the stream stalls."""
+        """Write the queued lines, unless the stream stalls for 0.5 s."""
         self._closed = True
         self._ready.set()
         self._thread.join(timeout=0.5)
@@ -94,7 +94,7 @@
     fields = {
         "at": at.isoformat(timespec="milliseconds"),
         "level": record.levelname.lower(),
-        "event": record.getMessage()[:MAX_TEXT],
+        "event": record.getMessage()[:MAX_MESSAGE_CHARS],
     }
     event = getattr(record, "event", None)
     if event is not None:
@@ -111,7 +111,7 @@
 
 
 def set_up(level: str, stream: TextIO) -> LineHandler:
-    """Send all records to the stream as JSON lines."""
+    """Make the root logger write all records to the stream as JSON lines."""
     handler = LineHandler(stream)
     root = logging.getLogger()
     root.handlers[:] = [handler]
--- a/toucanrudder/observability/logs.py
+++ b/toucanrudder/observability/logs.py
@@ -1,4 +1,4 @@
-"""Log lines as text or JSON."""
+"""Set-up of log output as text or JSON."""
 
 import logging
 import sys
@@ -26,7 +26,7 @@
     form : {'json', 'text'}
         Form of each line.
     level : str
-        Least severe level, by its lower-case name.
+        Least severe level that is logged, in lower case.
     """
     handler = logging.StreamHandler(sys.stderr)
     if form == "json":
@@ -42,5 +42,5 @@
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level.upper())
-    # aiohttp's access lines hold the query, which may hold a caller's text.
+    # aiohttp's access log holds the query string, which may hold prompt text.
     logging.getLogger("aiohttp.access").setLevel(logging.ERROR)
--- a/toucanrudder/observability/metrics.py
+++ b/toucanrudder/observability/metrics.py
@@ -1,4 +1,4 @@
-"""The process's OpenTelemetry meter, its Prometheus page and counters."""
+"""OpenTelemetry meter of the process, its counters and Prometheus page."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -21,24 +21,24 @@
 
 @functools.cache
 def counter(name: str, description: str) -> metrics.Counter:
-    """Return the counter of this name, made on first use.
+    """Return the counter of this name; it is created on first use.
 
-    Adding to a counter costs about ten microseconds: once per request or
-    per batch of events, never per token.
+    Adding to a counter takes about ten microseconds, so add once per
+    request or per batch of events, never per token.
     """
     return meter().create_counter(name, description=description)
 
 
 @functools.cache
 def histogram(name: str, unit: str, description: str) -> metrics.Histogram:
-    """Return the histogram of this name, made on first use."""
+    """Return the histogram of this name; it is created on first use."""
     return meter().create_histogram(name, unit=unit, description=description)
 
 
 def gauge(
     name: str, description: str, read: Callable[[], Mapping[str, int]]
 ) -> None:
-    """Show numbers that are read when the page is asked for, by state."""
+    """Register a gauge by state that is read at each scrape."""
 
     def observe(_) -> list[metrics.Observation]:
         return [
@@ -51,14 +51,14 @@
     )
 
 
-def refused(code: str, step: str) -> None:
+def count_refusal(code: str, step: str) -> None:
     """Count a refusal by its code and step."""
     counter("toucanrudder_refusals", "Refused requests").add(
         1, {"code": code, "step": step}
     )
 
 
-def retried(reason: str) -> None:
+def count_retry(reason: str) -> None:
     """Count a retry by its reason."""
     counter("toucanrudder_retries", "Retries of upstream calls").add(
         1, {"reason": reason}
--- a/toucanrudder/observability/tests/test_lines.py
+++ b/toucanrudder/observability/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""Log lines on a stream that nobody reads."""
+"""Log lines on a stream whose reader stalls."""
 
 import json
 import logging
@@ -45,48 +45,50 @@
 
 @pytest.fixture
 def handler(pipe):
-    found = lines.LineHandler(pipe[1])
+    line_handler = lines.LineHandler(pipe[1])
     log = decisions.LOG
-    log.addHandler(found)
+    log.addHandler(line_handler)
     log.setLevel(logging.INFO)
-    yield found
-    log.removeHandler(found)
+    yield line_handler
+    log.removeHandler(line_handler)
 
 
 def read_until(reader, event):
     for raw in reader:
-        found = json.loads(raw)
-        if found["event"] == event:
-            return found
+        fields = json.loads(raw)
+        if fields["event"] == event:
+            return fields
     raise AssertionError(event)
 
 
-def test_a_line_says_what_was_decided(handler, pipe):
+def test_a_line_holds_the_fields_of_its_event(handler, pipe):
     decisions.record(ANSWERED)
-    found = read_until(pipe[0], "Answered")
-    assert found["request_id"] == "id1"
-    assert found["first_s"] == 0.0123
+    fields = read_until(pipe[0], "Answered")
+    assert fields["request_id"] == "id1"
+    assert fields["first_s"] == 0.0123
     handler.close()
 
 
-def test_a_stalled_reader_delays_nobody(handler, pipe):
-    # Nobody reads standard output.  The pipe is full after a few hundred
-    # lines; a router that wrote into it would stand still with all its
-    # requests.  Here the test itself would hang.
-    for _ in range(4 * lines.MAX_WAITING):
+def test_a_stalled_reader_does_not_block_logging(handler, pipe):
+    # Nobody reads standard output, so the pipe is full after a few hundred
+    # lines.  A router that wrote into it directly would block with all its
+    # requests; here the test itself would hang.
+    for _ in range(4 * lines.MAX_QUEUED_LINES):
         decisions.record(ANSWERED)
-    for _ in range(lines.MAX_WAITING):
+    for _ in range(lines.MAX_QUEUED_LINES):
         decisions.record(REFUSED)
-    assert len(handler._waiting) <= lines.MAX_WAITING
+    assert len(handler._queue) <= lines.MAX_QUEUED_LINES
     reader = threading.Thread(
-        target=lambda: told.append(read_until(pipe[0], "LinesDropped"))
+        target=lambda: dropped_lines.append(
+            read_until(pipe[0], "LinesDropped")
+        )
     )
-    told = []
+    dropped_lines = []
     reader.start()
     while reader.is_alive():
         decisions.record(REFUSED)
         reader.join(0.01)
-    assert told[0]["kinds"]["Answered"] > lines.MAX_WAITING
+    assert dropped_lines[0]["kinds"]["Answered"] > lines.MAX_QUEUED_LINES
     drain = threading.Thread(target=pipe[0].read)
     drain.start()
     handler.close()
@@ -95,12 +97,12 @@
 
 
 def test_routine_lines_leave_room_for_refusals(handler, pipe):
-    # While the reader stalls, lines of requests that went well must not
-    # crowd out the one line that explains a refusal.
-    for _ in range(4 * lines.MAX_WAITING):
+    # While the reader stalls, lines of successful requests must not crowd
+    # out the one line that explains a refusal.
+    for _ in range(4 * lines.MAX_QUEUED_LINES):
         decisions.record(ANSWERED)
     decisions.record(REFUSED)
-    assert b'"Refused"' in handler._waiting[-1]
+    assert b'"Refused"' in handler._queue[-1]
     drain = threading.Thread(target=pipe[0].read)
     drain.start()
     handler.close()
@@ -109,7 +111,7 @@
 
 
 @pytest.mark.parametrize("kind", decisions.KINDS)
-def test_no_line_holds_a_secret(kind):
+def test_no_event_has_a_secret_field(kind):
     names = {field.name for field in kind.__attrs_attrs__}
     assert not names & {"api_key", "key", "prompt", "body", "headers"}
     assert kind.__doc__
--- a/toucanrudder/observability/tests/test_secrecy.py
+++ b/toucanrudder/observability/tests/test_secrecy.py
@@ -1,4 +1,4 @@
-"""What a router writes to its log."""
+"""Secrecy of the log: no keys, tokens or prompts."""
 
 import contextlib
 import json
@@ -104,12 +104,12 @@
 
 
 async def test_secrets_and_prompts_are_never_logged(tmp_path):
-    """An instance's log is read by people who may not see prompts.
+    """No log line holds a prompt, a key or a token, even at debug level.
 
-    Callers send good, wrong and refused requests, an operator changes the
-    configuration, and at last the engine is gone under a request.  At the
-    most talkative level no line holds a prompt, a key or a token, and each
-    refusal has a line with its code.
+    People who may not see prompts read the logs.  Callers send valid,
+    invalid and refused requests, an operator tries to drain an upstream,
+    and the engine is killed before the last request.  Refusals are logged
+    with their codes.
     """
     async with (
         system(tmp_path) as (router, engine),
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize("secret", ["fleet_key", "token"])
-def test_secret_options_are_marked(secret):
+def test_secret_options_are_marked_secret(secret):
     from toucanrudder.settings import options
 
     marked = {
