--- a/toucanrudder/controllers/cache_events.py
+++ b/toucanrudder/controllers/cache_events.py
@@ -86,9 +86,9 @@
 
     def _update_tasks(self, group: asyncio.TaskGroup) -> None:
         engines = {
-            (each.name, each.address): each
-            for each in self._upstreams()
-            if each.kind == model.ENGINE
+            (upstream.name, upstream.address): upstream
+            for upstream in self._upstreams()
+            if upstream.kind == model.ENGINE
         }
         for key in self._tasks.keys() - engines.keys():
             self._tasks.pop(key).cancel()
@@ -148,7 +148,7 @@
             if handler is None:
                 return
             keys = tuple(
-                bytes.fromhex(each) for each in event.get("blocks", ())
+                bytes.fromhex(block) for block in event.get("blocks", ())
             )
         source = (upstream, incarnation, sequence)
         handler(self._index, source, keys, self._clock())
--- a/toucanrudder/controllers/kv_transfer.py
+++ b/toucanrudder/controllers/kv_transfer.py
@@ -64,7 +64,7 @@
         For orders to engines.
     router : str
         Name of this router.
-    hot : request_rates.PrefixRates
+    prefix_rates : request_rates.PrefixRates
         Request rates of prefixes.
     routers : callable
         Returns the names of the live routers.
@@ -78,14 +78,14 @@
         self,
         session: aiohttp.ClientSession,
         router: str,
-        hot: request_rates.PrefixRates,
+        prefix_rates: request_rates.PrefixRates,
         routers: Callable[[], Iterable[str]],
         clock: Callable[[], float],
         cost: imports.ImportCost = imports.ImportCost(),
     ):
         self._session = session
         self._router = router
-        self._heat = hot
+        self._prefix_rates = prefix_rates
         self._routers = routers
         self._clock = clock
         self._cost = cost
@@ -101,7 +101,7 @@
         self, keys: Sequence[bytes], now_s: float
     ) -> tuple[bytes, ...]:
         """Return those of the keys that are worth exporting."""
-        rates = self._heat.rates(keys, now_s)
+        rates = self._prefix_rates.rates(keys, now_s)
         return tuple(key for key in keys if rates[key] >= HOT_RATE_PER_S)
 
     def plan_import(
--- a/toucanrudder/controllers/loads.py
+++ b/toucanrudder/controllers/loads.py
@@ -102,7 +102,7 @@
 
     def _start_due_polls(self, group: asyncio.TaskGroup) -> None:
         upstreams = self._upstreams()
-        self._table.retain(frozenset(each.name for each in upstreams))
+        self._table.retain(frozenset(upstream.name for upstream in upstreams))
         now_s = self._clock()
         period_s = poll_interval_s(self._wanted_interval_s, len(upstreams))
         for upstream in upstreams:
--- a/toucanrudder/controllers/tests/test_configuration.py
+++ b/toucanrudder/controllers/tests/test_configuration.py
@@ -45,7 +45,9 @@
             rng=random.Random(len(self.controllers)),
         )
         history = self.history[controller] = []
-        controller.subscribe(lambda taken: history.append(taken.generation))
+        controller.subscribe(
+            lambda applied: history.append(applied.generation)
+        )
         controller.subscribe(lambda _: self.changed.set())
         self.controllers.append(controller)
         self.tasks.append(asyncio.create_task(controller.run()))
@@ -66,8 +68,8 @@
     async def stored_at(self, generation):
         async with asyncio.timeout(TIMEOUT_S):
             while True:
-                found = await self.store.get(*KEY, timeout_s=1)
-                if found and found.value["generation"] == generation:
+                stored = await self.store.get(*KEY, timeout_s=1)
+                if stored and stored.value["generation"] == generation:
                     return
                 await asyncio.sleep(0.01)
 
@@ -134,10 +136,10 @@
     controller = fleet.start()
     await controller.apply(document(), 0, "ann")
     setattr(fleet.store.faults, fault, times)
-    taken = await controller.apply(document("v2"), 1, "ann")
+    applied = await controller.apply(document("v2"), 1, "ann")
     await fleet.all_at(2)
     await fleet.stored_at(2)
-    assert controller.current == taken
+    assert controller.current == applied
 
 
 async def test_an_unresolved_write_is_reported_as_unknown(fleet, monkeypatch):
@@ -227,9 +229,9 @@
     """
     fleet.store.faults.hang_watches = True
     one, two = fleet.start(watch_wait_s=0.3), fleet.start(watch_wait_s=0.3)
-    taken = await one.apply(document(), 0, "ann")
-    two.offer(taken)
-    assert two.current == taken
+    applied = await one.apply(document(), 0, "ann")
+    two.offer(applied)
+    assert two.current == applied
     fleet.store.faults.hang_watches = False
     await one.apply(document("v2"), 1, "ann")
     await fleet.all_at(2)
@@ -256,9 +258,9 @@
 async def test_an_unreadable_document_is_not_overwritten(fleet):
     one = fleet.start(watch_wait_s=0.05)
     await one.apply(document(), 0, "ann")
-    found = await fleet.store.get(*KEY, timeout_s=1)
+    stored = await fleet.store.get(*KEY, timeout_s=1)
     value = {"generation": 2, "form": "newer"}
-    await fleet.store.update(*KEY, value, found.version, timeout_s=1)
+    await fleet.store.update(*KEY, value, stored.version, timeout_s=1)
     with pytest.raises(errors.RudderError) as caught:
         await one.apply(document(), 1, "ann")
     assert caught.value.code is errors.Code.CONFIG_CONFLICT
@@ -268,8 +270,8 @@
     async with asyncio.timeout(TIMEOUT_S):
         while fleet.store.counts[watch_key] < min_watches:
             await fleet.store.watch("other", "none", 0, wait_s=0.01)
-    found = await fleet.store.get(*KEY, timeout_s=1)
-    assert found.value == value
+    stored = await fleet.store.get(*KEY, timeout_s=1)
+    assert stored.value == value
 
 
 async def test_a_failing_subscriber_keeps_nothing_from_the_others(fleet):
@@ -281,7 +283,7 @@
     controller.subscribe(fail)
     controller.subscribe(received.append)
     await controller.apply(document(), 0, "ann")
-    assert [taken.generation for taken in received] == [1]
+    assert [applied.generation for applied in received] == [1]
 
 
 SETTLED = [
@@ -295,10 +297,10 @@
 ]
 
 
-@pytest.mark.parametrize(("stored", "seen", "outcome"), SETTLED)
-def test_outcome_of_a_write_with_a_lost_answer(stored, seen, outcome):
+@pytest.mark.parametrize(("stored", "apply_ids", "outcome"), SETTLED)
+def test_outcome_of_a_write_with_a_lost_answer(stored, apply_ids, outcome):
     written = accepted(5, "mine")
-    assert acceptance.write_outcome(written, stored, seen) is outcome
+    assert acceptance.write_outcome(written, stored, apply_ids) is outcome
 
 
 SUPERSEDING = [
@@ -312,10 +314,10 @@
 
 
 @pytest.mark.parametrize(
-    ("candidate", "current", "source", "taken"), SUPERSEDING
+    ("candidate", "current", "source", "expected"), SUPERSEDING
 )
-def test_which_document_is_in_force(candidate, current, source, taken):
-    assert acceptance.supersedes(candidate, current, source) is taken
+def test_which_document_is_in_force(candidate, current, source, expected):
+    assert acceptance.supersedes(candidate, current, source) is expected
 
 
 def test_backoff_delays_are_bounded_and_differ():
--- a/toucanrudder/membership/routers.py
+++ b/toucanrudder/membership/routers.py
@@ -215,8 +215,8 @@
         progress = (entry.member.incarnation, entry.beat)
         if member.progress <= progress:
             return True
-        is_same = member.incarnation == entry.member.incarnation
-        if is_same and not entry.is_plausible(member.beat, now_s):
+        is_same_process = member.incarnation == entry.member.incarnation
+        if is_same_process and not entry.is_plausible(member.beat, now_s):
             return False
         self._store(member, now_s)
         return True
@@ -245,7 +245,7 @@
         if is_new and len(self._missing_since_s) < MAX_ROUTERS:
             self._missing_since_s.setdefault(key, now_s)
 
-    def missing_keys(self, most: int, now_s: float) -> tuple[int, ...]:
+    def missing_keys(self, max_count: int, now_s: float) -> tuple[int, ...]:
         """Return keys of routers that peers know and this one does not.
 
         A key is dropped after `silent_s`, as its router may have died
@@ -257,7 +257,7 @@
             for key, since_s in self._missing_since_s.items()
             if since_s >= oldest_s
         }
-        return tuple(itertools.islice(self._missing_since_s, most))
+        return tuple(itertools.islice(self._missing_since_s, max_count))
 
     def members_by_key(
         self, keys: Iterable[int], now_s: float
@@ -270,12 +270,14 @@
             if now_s - entry.last_heard_s <= self._silent_s
         )
 
-    def digest(self, most: int, now_s: float, rng: random.Random) -> Digest:
+    def digest(
+        self, max_count: int, now_s: float, rng: random.Random
+    ) -> Digest:
         """Return the newest beats of the reachable routers.
 
         Parameters
         ----------
-        most : int
+        max_count : int
             Largest number of routers.  If there are more, a sample is
             taken, from those heard within `DIGEST_FRESH_S` if enough of
             them are: older beats have been gossiped already.
@@ -286,12 +288,12 @@
         """
         self._refresh(now_s)
         entries = self._reachable
-        if len(entries) > most:
+        if len(entries) > max_count:
             fresh = [
                 e for e in entries if now_s - e.last_heard_s <= DIGEST_FRESH_S
             ]
             entries = rng.sample(
-                fresh if len(fresh) >= most else entries, most
+                fresh if len(fresh) >= max_count else entries, max_count
             )
         return Digest(
             [entry.key for entry in entries],
@@ -299,15 +301,19 @@
         )
 
     def members_to_gossip(
-        self, most: int, others: int, now_s: float, rng: random.Random
+        self,
+        max_count: int,
+        sample_size: int,
+        now_s: float,
+        rng: random.Random,
     ) -> tuple[Member, ...]:
         """Return the members to gossip in full: new, changed and a sample.
 
         Parameters
         ----------
-        most : int
+        max_count : int
             Largest number of members.
-        others : int
+        sample_size : int
             Size of the sample of all members, for peers that missed an
             earlier announcement.
         now_s : float
@@ -319,8 +325,8 @@
         new = [
             e for e in self._reachable if now_s - e.changed_s <= NEW_MEMBER_S
         ]
-        chosen = rng.sample(new, min(most, len(new)))
-        room = min(others, most - len(chosen), len(self._reachable))
+        chosen = rng.sample(new, min(max_count, len(new)))
+        room = min(sample_size, max_count - len(chosen), len(self._reachable))
         chosen += rng.sample(self._reachable, room)
         return tuple(entry.current() for entry in chosen)
 
--- a/toucanrudder/peers/client.py
+++ b/toucanrudder/peers/client.py
@@ -228,7 +228,7 @@
         """
         # A broadcast that was cancelled with all other tasks sends nothing.
         if self._pending_broadcast is None or self._pending_broadcast.done():
-            self._pending_broadcast = self._start(self._broadcast_round())
+            self._pending_broadcast = self._spawn(self._broadcast_round())
         await asyncio.wait([self._pending_broadcast], timeout=within_s)
 
     async def _broadcast_round(self) -> None:
@@ -244,10 +244,13 @@
             candidates, min(len(candidates), MAX_BROADCAST_PEERS)
         )
         await asyncio.gather(
-            *(self._tell(member.address, heartbeat) for member in chosen)
+            *(
+                self._send_urgent(member.address, heartbeat)
+                for member in chosen
+            )
         )
 
-    async def _tell(
+    async def _send_urgent(
         self, address: str, heartbeat: peers_pb2.Heartbeat
     ) -> None:
         try:
@@ -337,8 +340,10 @@
         try:
             is_urgent = False
             while True:
-                for address in self._targets(time.monotonic(), is_urgent):
-                    self._start(self._exchange(address))
+                for address in self._exchange_targets(
+                    time.monotonic(), is_urgent
+                ):
+                    self._spawn(self._exchange(address))
                 is_urgent = await self._wait_for_round()
         finally:
             for task in list(self._tasks):
@@ -364,7 +369,7 @@
         finally:
             self._urgent.clear()
 
-    def _targets(self, now_s: float, is_urgent: bool) -> list[str]:
+    def _exchange_targets(self, now_s: float, is_urgent: bool) -> list[str]:
         peers = self._node.table.peers(now_s)
         is_large_fleet = len(peers) > LARGE_FLEET_SIZE
         max_exchanges = (
@@ -414,7 +419,7 @@
         }
         return [a for a in candidates if a not in self._last_exchange_s]
 
-    def _start(self, coroutine) -> asyncio.Task:
+    def _spawn(self, coroutine) -> asyncio.Task:
         task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -457,7 +462,7 @@
     def _start_fetch(self, address: str) -> None:
         if not self._fetching:
             self._fetching = True
-            self._start(self._fetch(address))
+            self._spawn(self._fetch(address))
 
     async def _fetch(self, address: str) -> None:
         try:
--- a/toucanrudder/peers/messages.py
+++ b/toucanrudder/peers/messages.py
@@ -152,14 +152,14 @@
         ],
         quarantine=[
             peers_pb2.QuarantineEntry(
-                kind=each.kind.value,
-                fingerprint=each.fingerprint,
-                at_s=each.at_s,
-                upstream=each.upstream,
-                incarnation=each.incarnation,
-                isolated=each.isolated,
+                kind=record.kind.value,
+                fingerprint=record.fingerprint,
+                at_s=record.at_s,
+                upstream=record.upstream,
+                incarnation=record.incarnation,
+                isolated=record.isolated,
             )
-            for each in heartbeat.quarantine
+            for record in heartbeat.quarantine
         ],
         hot_prefixes=[
             peers_pb2.HotPrefix(key=hot.key, rate_per_s=hot.rate_per_s)
@@ -170,12 +170,12 @@
         want_all=heartbeat.want_all,
         leaving_upstreams=heartbeat.leaving_upstreams,
         avoided=[
-            peers_pb2.Avoided(upstream=each.upstream, for_s=each.for_s)
-            for each in heartbeat.avoided
+            peers_pb2.Avoided(upstream=avoided.upstream, for_s=avoided.for_s)
+            for avoided in heartbeat.avoided
         ],
         weights=[
-            peers_pb2.Weights(model=each.model, version=each.version)
-            for each in heartbeat.weights
+            peers_pb2.Weights(model=weights.model, version=weights.version)
+            for weights in heartbeat.weights
         ],
         registry=_served_to_wire(heartbeat.registry),
         digest_keys=heartbeat.digest.keys,
@@ -204,8 +204,8 @@
                 _load_from_wire(load) for load in message.loads[:MAX_LOADS]
             ),
             quarantine=tuple(
-                _entry_from_wire(each)
-                for each in message.quarantine[:MAX_QUARANTINE]
+                _entry_from_wire(record)
+                for record in message.quarantine[:MAX_QUARANTINE]
             ),
             hot_prefixes=tuple(
                 request_rates.HotPrefix(hot.key, _finite(hot.rate_per_s))
@@ -219,12 +219,12 @@
             want_all=message.want_all,
             leaving_upstreams=tuple(message.leaving_upstreams[:MAX_LOADS]),
             avoided=tuple(
-                Avoided(each.upstream, _finite(each.for_s))
-                for each in message.avoided[:MAX_LOADS]
+                Avoided(avoided.upstream, _finite(avoided.for_s))
+                for avoided in message.avoided[:MAX_LOADS]
             ),
             weights=tuple(
-                Weights(each.model, each.version)
-                for each in message.weights[:MAX_HOT]
+                Weights(weights.model, weights.version)
+                for weights in message.weights[:MAX_HOT]
             ),
             registry=_served_from_wire(message),
             digest=_digest_from_wire(message),
--- a/toucanrudder/peers/tests/test_large_fleets.py
+++ b/toucanrudder/peers/tests/test_large_fleets.py
@@ -116,7 +116,7 @@
 
     def _round(self, number):
         sender = self.clients[number]
-        for address in sender._targets(self.now_s, is_urgent=False):
+        for address in sender._exchange_targets(self.now_s, is_urgent=False):
             other = int(address.partition(":")[0])
             if other == number:
                 sender._own_addresses.add(address)
--- a/toucanrudder/peers/tests/test_peers.py
+++ b/toucanrudder/peers/tests/test_peers.py
@@ -49,8 +49,8 @@
                 on_quarantine=lambda new, _: self.entries.extend(
                     each for each in new if each not in self.entries
                 ),
-                on_hot_prefixes=lambda peer, *told: self.hot.update(
-                    {peer: told}
+                on_hot_prefixes=lambda peer, *report: self.hot.update(
+                    {peer: report}
                 ),
             ),
             self.rng,
@@ -199,20 +199,25 @@
     now_s = peers._last_exchange_s[addresses[3]]
     for address in addresses[:4]:
         router.table.record_heartbeat(address, address, 1, now_s)
-    targets = peers._targets(now_s, is_urgent=False)
+    targets = peers._exchange_targets(now_s, is_urgent=False)
     assert sorted(targets) == addresses[:3]
-    assert sorted(peers._targets(now_s, is_urgent=True)) == addresses[:4]
+    assert (
+        sorted(peers._exchange_targets(now_s, is_urgent=True)) == addresses[:4]
+    )
     assert addresses[3] in peers._without_recent_exchange(
         addresses, now_s + 0.8
     )
     for address in addresses[: client.LARGE_FLEET_SIZE]:
         router.table.record_heartbeat(address, address, 1, now_s)
-    assert len(peers._targets(now_s, is_urgent=False)) == client.MAX_EXCHANGES
+    assert (
+        len(peers._exchange_targets(now_s, is_urgent=False))
+        == client.MAX_EXCHANGES
+    )
     for address in addresses:
         router.table.record_heartbeat(address, address, 1, now_s)
-    many = peers._targets(now_s, is_urgent=False)
+    many = peers._exchange_targets(now_s, is_urgent=False)
     assert len(many) == client.MAX_EXCHANGES_LARGE_FLEET
-    assert len(peers._targets(now_s, is_urgent=True)) == 8
+    assert len(peers._exchange_targets(now_s, is_urgent=True)) == 8
 
 
 class Authority:
