--- a/toucanrudder/platform/tests/test_boundary.py
+++ b/toucanrudder/platform/tests/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in this folder."""
+"""Tests that the platform's names occur in this package only."""
 
 import pathlib
 import re
@@ -7,12 +7,12 @@
 
 from toucanrudder import platform
 
-FOLDER = pathlib.Path(platform.__file__).parent
-PACKAGE = FOLDER.parent
+PACKAGE_FOLDER = pathlib.Path(platform.__file__).parent
+ROOT_FOLDER = PACKAGE_FOLDER.parent
 
-#: Names of the wire; those that the product's own interface has as well
-#: are left out.
-NAMES = (
+#: Wire names of the platform, without those that the product's own
+#: interface has as well.
+WIRE_NAMES = (
     "Request-Id",
     "Deadline-Ms",
     "Expect-Instance",
@@ -55,32 +55,32 @@
     "TOUCANRUDDER_BOOT",
 )
 
-#: Spellings that the product uses for something of its own.
-OWN = {"cache-salt"}
+#: Spellings that the product uses for names of its own.
+PRODUCT_NAMES = {"cache-salt"}
 
-OUTSIDE = sorted(
+OTHER_FILES = sorted(
     path
-    for path in PACKAGE.rglob("*.py")
-    if FOLDER not in path.parents and "_pb2" not in path.name
+    for path in ROOT_FOLDER.rglob("*.py")
+    if PACKAGE_FOLDER not in path.parents and "_pb2" not in path.name
 )
 
 
-@pytest.mark.parametrize("name", NAMES)
-def test_no_other_package_knows_a_name_of_the_wire(name):
-    # X-Request-Id and the like are names of the product's own interface.
-    spellings = map(re.escape, {name, name.lower()} - OWN)
+@pytest.mark.parametrize("name", WIRE_NAMES)
+def test_wire_names_occur_only_in_this_package(name):
+    # Names such as X-Request-Id belong to the product's own interface.
+    spellings = map(re.escape, {name, name.lower()} - PRODUCT_NAMES)
     pattern = re.compile(r"(?<![\w-])(?:" + "|".join(spellings) + ")")
-    found = [
-        str(path.relative_to(PACKAGE))
-        for path in OUTSIDE
+    matches = [
+        str(path.relative_to(ROOT_FOLDER))
+        for path in OTHER_FILES
         if pattern.search(path.read_text(encoding="utf-8"))
     ]
-    assert not found
+    assert not matches
 
 
-def test_the_folder_stays_small():
+def test_package_stays_below_900_lines():
     lines = sum(
         len(path.read_text(encoding="utf-8").splitlines())
-        for path in FOLDER.glob("*.py")
+        for path in PACKAGE_FOLDER.glob("*.py")
     )
     assert lines < 900
--- a/toucanrudder/platform/tests/test_platform.py
+++ b/toucanrudder/platform/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The forwarding router with stand-ins of the platform around it."""
+"""Tests of the forwarding router against stand-ins for the platform."""
 
 import asyncio
 import contextlib
@@ -112,8 +112,8 @@
 """
 
 
-class Site:
-    """A store, upstreams and routers."""
+class Cluster:
+    """A store, upstreams and routers of one test."""
 
     def __init__(self, tmp_path, stack):
         self.tmp_path = tmp_path
@@ -125,19 +125,19 @@
         self.store.put("config", "main", CONFIGURATION)
 
     async def server(self, service="desk", model="", zone="za"):
-        found = standins.Server(service, model, zone)
-        await self.stack.enter_async_context(found.running())
-        self.store.put("servers", found.incarnation, found.entry())
-        return found
+        server = standins.Server(service, model, zone)
+        await self.stack.enter_async_context(server.running())
+        self.store.put("servers", server.incarnation, server.entry())
+        return server
 
     async def engine(self):
         return await self.server("engines", "m")
 
-    async def raw(self, answer):
-        found = standins.RawServer("desk", answer)
-        await self.stack.enter_async_context(found.running())
-        self.store.put("servers", found.incarnation, found.entry())
-        return found
+    async def raw_server(self, answer):
+        server = standins.RawServer("desk", answer)
+        await self.stack.enter_async_context(server.running())
+        self.store.put("servers", server.incarnation, server.entry())
+        return server
 
     def settings(self, name, seeds):
         path = self.tmp_path / f"{name}.ini"
@@ -149,22 +149,22 @@
 
     async def router(self, name="r1", seeds="", *, ready=True):
         conf = self.settings(name, seeds)
-        found = daemon.Router(conf, assembly.build_platform(conf))
-        await self.stack.enter_async_context(found.serving())
+        router = daemon.Router(conf, assembly.build_platform(conf))
+        await self.stack.enter_async_context(router.serving())
         if ready:
-            await until(lambda: found.state.is_ready)
-        return found
+            await wait_until(lambda: router.state.is_ready)
+        return router
 
 
 @pytest.fixture
-async def site(tmp_path):
+async def cluster(tmp_path):
     async with contextlib.AsyncExitStack() as stack:
-        found = Site(tmp_path, stack)
-        await found.start()
-        yield found
+        cluster = Cluster(tmp_path, stack)
+        await cluster.start()
+        yield cluster
 
 
-async def until(condition):
+async def wait_until(condition):
     async with asyncio.timeout(DEADLINE_S):
         while not condition():
             await asyncio.sleep(0.01)
@@ -179,14 +179,14 @@
         return self.head.get(name)
 
 
-NUMBERS = iter(range(1, 10**6))
+REQUEST_NUMBERS = iter(range(1, 10**6))
 
 
-def request(path=b"/r/x", *, method=b"GET", body=b"", **fields):
+def build_request(path=b"/r/x", *, method=b"GET", body=b"", **fields):
     host = b"llm.example" if path[:3] in (b"/s/", b"/on") else b"app.example"
     headers = {
         "Host": host.decode(),
-        "Request-Id": f"id{next(NUMBERS)}",
+        "Request-Id": f"id{next(REQUEST_NUMBERS)}",
         "Deadline-Ms": "3000",
         "Authorization": "Bearer key-of-north",
     }
@@ -208,8 +208,8 @@
     ), body
 
 
-async def asked(router, *args, **kwargs):
-    head, body = request(*args, **kwargs)
+async def send_request(router, *args, **kwargs):
+    head, body = build_request(*args, **kwargs)
     connection = await client.connect(
         router.request_listener.address, DEADLINE_S
     )
@@ -232,10 +232,10 @@
 EVENTS = b"".join(map(standins.event, (1, 2, 3)))
 
 
-async def test_what_callers_send_arrives_unchanged(site):
-    desk = await site.server()
-    router = await site.router()
-    answer = await asked(
+async def test_request_is_forwarded_unchanged(cluster):
+    desk = await cluster.server()
+    router = await cluster.router()
+    answer = await send_request(
         router,
         b"/w/a%2Fb/?q=%zz&r",
         method=b"PUT",
@@ -271,17 +271,17 @@
 
 
 @pytest.mark.parametrize("name", FORGED)
-async def test_fields_that_are_ours_are_not_the_callers(site, name):
-    # A caller sets a field that only the router may set.  Passed on, it
-    # would let him act for others or read another's cache.
-    engine = await site.engine()
-    router = await site.router()
-    answer = await asked(router, b"/s/x", **{name: "forged"})
+async def test_router_headers_of_callers_are_dropped(cluster, name):
+    # If a header that only the router may set were forwarded, a caller
+    # could act for another organisation or read its cache.
+    engine = await cluster.engine()
+    router = await cluster.router()
+    answer = await send_request(router, b"/s/x", **{name: "forged"})
     assert answer.body == EVENTS
     assert "forged" not in engine.runs[0].headers.values()
 
 
-REFUSED = {
+INVALID_REQUESTS = {
     "no route": ({"path": b"/none/x"}, 404),
     "no route for the host": ({"Host": "other.example"}, 404),
     "no key": ({"Authorization": None}, 401),
@@ -295,34 +295,36 @@
 
 
 @pytest.mark.parametrize(
-    ("fields", "status"), REFUSED.values(), ids=REFUSED.keys()
+    ("fields", "status"),
+    INVALID_REQUESTS.values(),
+    ids=INVALID_REQUESTS.keys(),
 )
-async def test_improper_requests_are_refused(site, fields, status):
-    desk = await site.server()
-    router = await site.router()
-    assert (await asked(router, **fields)).status == status
+async def test_invalid_requests_are_refused(cluster, fields, status):
+    desk = await cluster.server()
+    router = await cluster.router()
+    assert (await send_request(router, **fields)).status == status
     assert not desk.runs
 
 
-async def test_without_a_configuration_nothing_is_denied(site):
-    # The store has no configuration yet.  A 404 would tell callers that
-    # their route does not exist; 503 makes them come back.
-    site.store.delete("config", "main")
-    router = await site.router(ready=False)
-    answer = await asked(router)
+async def test_requests_without_configuration_get_503(cluster):
+    # While the store has no configuration, 404 would say that the route
+    # does not exist; 503 makes callers retry.
+    cluster.store.delete("config", "main")
+    router = await cluster.router(ready=False)
+    answer = await send_request(router)
     assert answer.status == 503
     assert float(answer.get(b"retry-after")) > 0
 
 
-def first_tried_does(servers, behaviour):
-    """Let whichever upstream is tried first do this, and all else well."""
+def set_first_behaviour(servers, behaviour):
+    """Make the upstream that is tried first behave so, once."""
     script = [behaviour]
     for each in servers:
         each.behaviours = script
 
 
-#: Path, what the first upstream does, status, and how often it runs.
-ENDS = {
+#: Path, behaviour of the first upstream, status, and number of runs.
+FAILURES = {
     "shed, once": (b"/w/x", standins.sheds, 200, 1),
     "lost, once": (b"/w/x", standins.resets, 502, 1),
     "crossed, once": (b"/w/x", standins.answers_other_request, 502, 1),
@@ -340,168 +342,180 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "behaviour", "status", "runs"), ENDS.values(), ids=ENDS.keys()
+    ("path", "behaviour", "status", "runs"),
+    FAILURES.values(),
+    ids=FAILURES.keys(),
 )
-async def test_requests_run_again_only_where_they_may(
-    site, path, behaviour, status, runs
+async def test_requests_are_repeated_only_if_allowed(
+    cluster, path, behaviour, status, runs
 ):
-    # The first upstream fails in one of many ways.  What may run once is
-    # sent again only if it proves that nothing ran, and is never answered
-    # with a status that promises so when it does not.
-    servers = [await site.server(), await site.server()]
-    first_tried_does(servers, behaviour)
-    router = await site.router()
-    assert (await asked(router, path)).status == status
+    # The first upstream fails.  A request that must run at most once is
+    # repeated only if the upstream proves that it has not run, and is not
+    # answered with a status that says so without that proof.
+    servers = [await cluster.server(), await cluster.server()]
+    set_first_behaviour(servers, behaviour)
+    router = await cluster.router()
+    assert (await send_request(router, path)).status == status
     assert sum(len(each.runs) for each in servers) == runs
 
 
-def named(request_id):
+def request_id_field(request_id):
     return f"Request-Id: {request_id}"
 
 
-def refused(request_id):
-    return standins.raw_answer(503, "Not-Executed: 1", named(request_id))
+def not_run_answer(request_id):
+    return standins.raw_answer(
+        503, "Not-Executed: 1", request_id_field(request_id)
+    )
 
 
-def runs_whole(upstream, request):
+def run_and_answer(upstream, request):
     upstream.executed.append(request.request_id)
     return standins.raw_answer(
-        200, named(request.request_id), "Server-Seal: s", body="done"
+        200,
+        request_id_field(request.request_id),
+        "Server-Seal: s",
+        body="done",
     )
 
 
-async def test_a_late_copy_of_a_refusal_is_no_second_refusal(site):
-    # The first refusal comes once more where the request was sent again.
+async def test_duplicate_refusal_is_not_a_second_refusal(cluster):
+    # The first refusal is sent again on the connection of the repetition.
     def answer(upstream, request):
         if request.request_id in request.before:
-            late = refused(request.request_id)
-            return late + runs_whole(upstream, request)
+            late = not_run_answer(request.request_id)
+            return late + run_and_answer(upstream, request)
         if len(upstream.connections) == 1:
-            return refused(request.request_id)
-        return runs_whole(upstream, request)
+            return not_run_answer(request.request_id)
+        return run_and_answer(upstream, request)
 
-    desk = await site.raw(answer)
-    router = await site.router()
-    found = await asked(router, b"/w/x")
-    assert found.status == 200
+    desk = await cluster.raw_server(answer)
+    router = await cluster.router()
+    result = await send_request(router, b"/w/x")
+    assert result.status == 200
     assert len(desk.executed) == 1
     assert len(desk.connections) == 2
 
 
-async def test_a_slow_choice_is_not_the_last_one(site, monkeypatch):
-    # The upstream has room again after the time that a choice took.
-    desk = await site.server()
+async def test_slow_choice_does_not_end_the_attempts(cluster, monkeypatch):
+    # Choosing takes 0.06 s, after which the upstream has a free slot again.
+    desk = await cluster.server()
     desk.behaviours = [standins.sheds]
-    router = await site.router()
+    router = await cluster.router()
     choose = execution.RequestExecution._choose
 
-    def slowly(self):
+    def choose_slowly(self):
         try:
             return choose(self)
         finally:
             time.sleep(0.06)
 
-    monkeypatch.setattr(execution.RequestExecution, "_choose", slowly)
-    assert (await asked(router, b"/w/x")).status == 200
+    monkeypatch.setattr(execution.RequestExecution, "_choose", choose_slowly)
+    assert (await send_request(router, b"/w/x")).status == 200
 
 
-LATE = {
+LATE_ANSWERS = {
     "503 of nobody": standins.raw_answer(503, "Not-Executed: 1"),
     "429 of nobody": standins.raw_answer(429, "Not-Executed: 1"),
     "400 of nobody": standins.raw_answer(400, "Not-Executed: 1"),
     "421 of nobody": standins.raw_answer(421),
-    "503 of another": refused("another"),
-    "421 of another": standins.raw_answer(421, named("another")),
+    "503 of another": not_run_answer("another"),
+    "421 of another": standins.raw_answer(421, request_id_field("another")),
     "200 of another": standins.raw_answer(
-        200, named("another"), "Server-Seal: s", body="not yours"
+        200, request_id_field("another"), "Server-Seal: s", body="not yours"
     ),
 }
 
 
-def before_the_next_request(monkeypatch, router, upstream, data):
-    """Let bytes be there, unread, when a kept connection is taken."""
+def write_before_next_request(monkeypatch, router, upstream, data):
+    """Write bytes to a kept connection when the pool hands it out."""
     take = router.state.pool._take
 
-    def taken(*args):
-        found = take(*args)
-        if found is not None:
+    def take_and_write(*args):
+        connection = take(*args)
+        if connection is not None:
             os.write(upstream.connections[0].fileno(), data)
-        return found
+        return connection
 
-    monkeypatch.setattr(router.state.pool, "_take", taken)
+    monkeypatch.setattr(router.state.pool, "_take", take_and_write)
 
 
 @pytest.mark.parametrize("is_early", (False, True), ids=("behind", "before"))
-@pytest.mark.parametrize("late", LATE.values(), ids=LATE.keys())
-async def test_an_earlier_requests_answer_proves_nothing(
-    site, monkeypatch, late, is_early
+@pytest.mark.parametrize(
+    "late", LATE_ANSWERS.values(), ids=LATE_ANSWERS.keys()
+)
+async def test_answer_to_an_earlier_request_is_no_refusal(
+    cluster, monkeypatch, late, is_early
 ):
-    # It is read on a kept connection as the answer to the next request.
+    # The late answer arrives on a kept connection, where it could be read
+    # as the answer to the next request.
     def answer(upstream, request):
-        whole = runs_whole(upstream, request)
+        whole = run_and_answer(upstream, request)
         return late + whole if request.before and not is_early else whole
 
-    desk = await site.raw(answer)
-    router = await site.router()
-    assert (await asked(router, b"/w/x")).status == 200
+    desk = await cluster.raw_server(answer)
+    router = await cluster.router()
+    assert (await send_request(router, b"/w/x")).status == 200
     if is_early:
-        before_the_next_request(monkeypatch, router, desk, late)
-    assert (await asked(router, b"/w/x")).status == 502
+        write_before_next_request(monkeypatch, router, desk, late)
+    assert (await send_request(router, b"/w/x")).status == 502
     assert len(desk.executed) == 2
     assert len(desk.connections) == 1
 
 
-async def test_a_refusal_of_nobody_counts_on_an_unused_connection(site):
-    # No other request can have left it there.
+async def test_refusal_without_request_id_counts_on_a_new_connection(cluster):
+    # On a new connection no earlier request can have caused it.
     def answer(upstream, request):
         if len(upstream.connections) == 1:
             return standins.raw_answer(503, "Not-Executed: 1")
-        return runs_whole(upstream, request)
+        return run_and_answer(upstream, request)
 
-    desk = await site.raw(answer)
-    router = await site.router()
-    assert (await asked(router, b"/w/x")).status == 200
+    desk = await cluster.raw_server(answer)
+    router = await cluster.router()
+    assert (await send_request(router, b"/w/x")).status == 200
     assert len(desk.executed) == 1
 
 
 NOT_EXECUTED, SEALED = "Not-Executed: 1", "Server-Seal: s"
-ELSEWHERE = "Instance-Id: i-other"
+OTHER_INSTANCE = "Instance-Id: i-other"
 
-#: Status and fields of an answer that has run, and the caller's status.
+#: Status and headers of an answer to a run, and the caller's status.
 CONTRADICTORY = {
     "sealed success": (200, (NOT_EXECUTED, SEALED), 200),
     "success": (200, (NOT_EXECUTED,), 502),
-    "sealed success of another process": (200, (ELSEWHERE, SEALED), 200),
+    "sealed success of another process": (200, (OTHER_INSTANCE, SEALED), 200),
     "sealed denial": (404, (NOT_EXECUTED, SEALED), 404),
     "sealed failure": (500, (NOT_EXECUTED, SEALED), 500),
     "failure": (500, (NOT_EXECUTED,), 502),
     "sealed time limit": (504, (NOT_EXECUTED, SEALED), 504),
-    "failure of another process": (500, (ELSEWHERE,), 502),
+    "failure of another process": (500, (OTHER_INSTANCE,), 502),
 }
 
 
-def runs_saying(status, *fields):
-    """Run each request and give all of them this answer."""
+def run_and_answer_with(status, *fields):
+    """Run each request and give the same answer to all."""
 
     def answer(upstream, request):
         upstream.executed.append(request.request_id)
-        return standins.raw_answer(status, named(request.request_id), *fields)
+        return standins.raw_answer(
+            status, request_id_field(request.request_id), *fields
+        )
 
     return answer
 
 
 @pytest.mark.parametrize(
-    ("status", "fields", "told"),
+    ("status", "fields", "expected_status"),
     CONTRADICTORY.values(),
     ids=CONTRADICTORY.keys(),
 )
-async def test_an_answer_that_contradicts_itself_is_no_refusal(
-    site, status, fields, told
+async def test_contradictory_answer_is_no_refusal(
+    cluster, status, fields, expected_status
 ):
-    # A run's answer is spoilt so that it says "not executed" as well.
-    desk = await site.raw(runs_saying(status, *fields))
-    router = await site.router()
-    assert (await asked(router, b"/w/x")).status == told
+    # The answer to a run says Not-Executed as well.
+    desk = await cluster.raw_server(run_and_answer_with(status, *fields))
+    router = await cluster.router()
+    assert (await send_request(router, b"/w/x")).status == expected_status
     assert len(desk.executed) == 1
 
 
@@ -510,35 +524,38 @@
     "full, sealed": (503, NOT_EXECUTED, SEALED),
     "too many": (429, NOT_EXECUTED),
     "not read": (400, NOT_EXECUTED),
-    "another process": (421, ELSEWHERE),
+    "another process": (421, OTHER_INSTANCE),
     "another process, no proof beside": (421,),
-    "another process, sealed": (421, ELSEWHERE, NOT_EXECUTED, SEALED),
+    "another process, sealed": (421, OTHER_INSTANCE, NOT_EXECUTED, SEALED),
 }
 
 
-@pytest.mark.parametrize("said", REFUSALS.values(), ids=REFUSALS.keys())
-async def test_a_refusal_sends_the_request_elsewhere(site, said):
+@pytest.mark.parametrize("refusal", REFUSALS.values(), ids=REFUSALS.keys())
+async def test_refused_request_is_sent_to_another_upstream(cluster, refusal):
     def answer(upstream, request):
         if not any(other.connections for other in servers - {upstream}):
-            status, *fields = said
-            name = named(request.request_id)
-            return standins.raw_answer(status, name, *fields)
-        return runs_whole(upstream, request)
-
-    servers = {await site.raw(answer), await site.raw(answer)}
-    router = await site.router()
-    assert (await asked(router, b"/w/x")).status == 200
+            status, *fields = refusal
+            id_field = request_id_field(request.request_id)
+            return standins.raw_answer(status, id_field, *fields)
+        return run_and_answer(upstream, request)
+
+    servers = {
+        await cluster.raw_server(answer),
+        await cluster.raw_server(answer),
+    }
+    router = await cluster.router()
+    assert (await send_request(router, b"/w/x")).status == 200
     assert sorted(len(each.executed) for each in servers) == [0, 1]
     assert all(len(each.connections) == 1 for each in servers)
 
 
-async def test_a_stream_goes_on_at_another_engine(site):
-    # An engine crashes in the middle of an event.  The caller gets the
-    # rest from another one, no event twice and none joined of two halves.
-    engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.breaks_mid_event)
-    router = await site.router()
-    answer = await asked(router, b"/s/x")
+async def test_resumable_stream_continues_at_another_engine(cluster):
+    # An engine crashes in the middle of an event.  The caller gets the rest
+    # from another one, without duplicated or damaged events.
+    engines = [await cluster.engine(), await cluster.engine()]
+    set_first_behaviour(engines, standins.breaks_mid_event)
+    router = await cluster.router()
+    answer = await send_request(router, b"/s/x")
     assert answer.is_whole
     assert answer.body == EVENTS
     runs = [run for each in engines for run in each.runs]
@@ -548,41 +565,42 @@
     ]
 
 
-async def test_a_broken_stream_never_looks_whole(site):
-    # A stream that may run once breaks off and no copy of it exists: the
-    # caller must see that it is not whole.
-    engine = await site.engine()
+async def test_broken_stream_does_not_look_complete(cluster):
+    # A stream that must run at most once breaks off and has no copy: the
+    # caller must see that it is incomplete.
+    engine = await cluster.engine()
     engine.behaviours.append(standins.breaks_mid_event)
-    router = await site.router()
-    answer = await asked(router, b"/once/x")
+    router = await cluster.router()
+    answer = await send_request(router, b"/once/x")
     assert not answer.is_whole
     assert answer.body == standins.event(1)
     assert len(engine.runs) == 1
 
 
-async def test_a_run_goes_on_from_its_copy(site):
-    # A stream that may run once breaks off at one engine while another
-    # holds a copy of its memory: it is the same run that goes on there.
-    engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.breaks_after_copy)
-    router = await site.router()
-    answer = await asked(router, b"/once/x")
+async def test_run_continues_from_its_copy(cluster):
+    # A stream that must run at most once breaks off, and another engine
+    # holds a copy of its KV cache: the same run continues there.
+    engines = [await cluster.engine(), await cluster.engine()]
+    set_first_behaviour(engines, standins.breaks_after_copy)
+    router = await cluster.router()
+    answer = await send_request(router, b"/once/x")
     assert answer.is_whole
     assert answer.body == EVENTS
     runs = [run for each in engines for run in each.runs]
     first, second = sorted(runs, key=lambda run: "kv-from" in run.headers)
     assert second.headers["last-event-id"] == "1"
-    place, _, name = second.headers["kv-from"].partition("/")
-    assert place == first.headers["kv-backup"]
-    assert name == first.request_id == second.request_id
-
-
-async def test_a_silent_run_goes_on_from_its_copy(site):
-    # The rest of a stream is lost without a reset, and it may run once.
-    engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.hangs_after_copy)
-    router = await site.router()
-    answer = await asked(router, b"/once/x")
+    address, _, request_id = second.headers["kv-from"].partition("/")
+    assert address == first.headers["kv-backup"]
+    assert request_id == first.request_id == second.request_id
+
+
+async def test_silent_run_continues_from_its_copy(cluster):
+    # The rest of a stream that must run at most once is lost, without a
+    # connection reset.
+    engines = [await cluster.engine(), await cluster.engine()]
+    set_first_behaviour(engines, standins.hangs_after_copy)
+    router = await cluster.router()
+    answer = await send_request(router, b"/once/x")
     assert answer.is_whole
     assert answer.body == EVENTS
     runs = [run for each in engines for run in each.runs]
@@ -598,26 +616,27 @@
 
 
 @pytest.mark.parametrize("first", ["resets", "breaks_mid_event", "hangs"])
-async def test_a_run_without_a_copy_is_continued_nowhere(site, first):
-    # Engines that lose their answers run what they are asked to go on with.
-    engines = [await site.engine(), await site.engine()]
+async def test_run_without_copy_is_not_continued(cluster, first):
+    # The second engine would run a continuation and lose its answer.
+    engines = [await cluster.engine(), await cluster.engine()]
     script = [getattr(standins, first), standins.resets]
     for each in engines:
         each.behaviours = script
-    router = await site.router()
-    answer = await asked(router, b"/once/x")
+    router = await cluster.router()
+    answer = await send_request(router, b"/once/x")
     assert not answer.is_whole or answer.status in (502, 504)
     assert sum(len(each.runs) for each in engines) == 1
 
 
-async def test_a_run_that_is_put_back_is_waited_for(site):
-    # An engine puts a stream that may run once back for a more urgent one
-    # and is silent for longer than a lost answer would show.  Cut and sent
-    # to the engine with its copy, which has dropped it, it would be lost.
-    engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.stalls_until_report)
-    router = await site.router()
-    answer = await asked(router, b"/once/x")
+async def test_preempted_run_is_waited_for(cluster):
+    # An engine preempts a stream that must run at most once and is silent
+    # for longer than the limit for lost answers.  If the router cut it and
+    # continued it at the engine with the copy, which has dropped the copy,
+    # the stream would be lost.
+    engines = [await cluster.engine(), await cluster.engine()]
+    set_first_behaviour(engines, standins.stalls_until_report)
+    router = await cluster.router()
+    answer = await send_request(router, b"/once/x")
     assert (answer.is_whole, answer.body) == (True, EVENTS)
     assert sum(len(each.runs) for each in engines) == 1
     assert any(each.report_requested.is_set() for each in engines)
@@ -631,12 +650,15 @@
 
 
 @pytest.mark.parametrize(("first", "body"), WAITED_FOR.items())
-async def test_a_run_that_nothing_can_follow_is_waited_for(site, first, body):
-    # Cut, it was lost for a caller who may not send it again.
-    engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, getattr(standins, first))
-    router = await site.router()
-    answer = await asked(router, b"/once/x")
+async def test_run_that_cannot_be_continued_is_waited_for(
+    cluster, first, body
+):
+    # If the router cut the run, it would be lost: the caller must not
+    # repeat it.
+    engines = [await cluster.engine(), await cluster.engine()]
+    set_first_behaviour(engines, getattr(standins, first))
+    router = await cluster.router()
+    answer = await send_request(router, b"/once/x")
     assert (answer.is_whole, answer.body) == (True, body)
     assert sum(len(each.runs) for each in engines) == 1
 
@@ -644,88 +666,88 @@
 @pytest.mark.parametrize(
     "unanswered", ["resets_report_call", "ignores_report_call"]
 )
-async def test_a_run_whose_engine_gives_no_report_is_waited_for(
-    site, unanswered
-):
-    # An engine under pressure answers no question for its report.
-    engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.stalls_until_report)
+async def test_run_is_waited_for_without_engine_report(cluster, unanswered):
+    # An overloaded engine does not answer requests for its report.
+    engines = [await cluster.engine(), await cluster.engine()]
+    set_first_behaviour(engines, standins.stalls_until_report)
     for each in engines:
         each.before_report = [getattr(standins, unanswered)]
-    router = await site.router()
-    answer = await asked(router, b"/once/x")
+    router = await cluster.router()
+    answer = await send_request(router, b"/once/x")
     assert (answer.is_whole, answer.body) == (True, EVENTS)
     assert sum(len(each.runs) for each in engines) == 1
 
 
-async def test_an_engine_is_asked_with_pauses(site):
-    # The configuration allows no pause between two events.
+async def test_report_requests_are_spaced(cluster):
+    # The configured event gap is 0, so reports are due at all times.
     routes = [each | {"target_gap_ms": 0} for each in CONFIGURATION["routes"]]
-    site.store.put("config", "main", CONFIGURATION | {"routes": routes})
-    engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.closes_after_silence)
+    cluster.store.put("config", "main", CONFIGURATION | {"routes": routes})
+    engines = [await cluster.engine(), await cluster.engine()]
+    set_first_behaviour(engines, standins.closes_after_silence)
     for each in engines:
         each.before_report = [standins.resets_report_call] * 99
-    router = await site.router()
-    answer = await asked(router, b"/once/x")
+    router = await cluster.router()
+    answer = await send_request(router, b"/once/x")
     assert (answer.is_whole, answer.body) == (True, EVENTS)
     assert min(len(each.before_report) for each in engines) > 89
 
 
-async def test_a_run_goes_on_elsewhere_once_its_connection_breaks(site):
-    # An engine that gives no report dies some time later.
-    engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.closes_after_silence)
+async def test_run_continues_elsewhere_after_its_connection_breaks(cluster):
+    # An engine that gives no report closes its connections later.
+    engines = [await cluster.engine(), await cluster.engine()]
+    set_first_behaviour(engines, standins.closes_after_silence)
     for each in engines:
         each.before_report = [standins.resets_report_call] * 9
-    router = await site.router()
-    answer = await asked(router, b"/once/x")
+    router = await cluster.router()
+    answer = await send_request(router, b"/once/x")
     assert (answer.is_whole, answer.body) == (True, EVENTS)
     assert sum(len(each.runs) for each in engines) == 2
     assert any(len(each.before_report) < 9 for each in engines)
 
 
-async def test_events_that_cross_a_report_are_not_lost(site):
-    # The report already counts events that came after it was asked for.
-    engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.stalls_then_catches_up)
+async def test_events_sent_before_a_report_are_not_lost(cluster):
+    # The report counts events that were sent after it was requested.
+    engines = [await cluster.engine(), await cluster.engine()]
+    set_first_behaviour(engines, standins.stalls_then_catches_up)
     for each in engines:
         each.before_report = [standins.streams_before_report]
-    router = await site.router()
-    answer = await asked(router, b"/once/x")
+    router = await cluster.router()
+    answer = await send_request(router, b"/once/x")
     assert (answer.is_whole, answer.body) == (True, EVENTS)
     assert sum(len(each.runs) for each in engines) == 1
 
 
-async def test_a_run_goes_on_elsewhere_once_its_engine_has_stopped(site):
-    # An engine loses the events that it makes, and notices late that its
-    # connection was closed.
-    engines = [await site.engine(), await site.engine()]
-    listed = []
+async def test_run_continues_elsewhere_once_its_engine_ended_it(cluster):
+    # An engine loses the events that it produces, and ends the run some
+    # time after its connection was closed.
+    engines = [await cluster.engine(), await cluster.engine()]
+    still_reported = []
 
-    async def goes_on(engine, run, answer):
-        listed.extend(name for each in engines for name in each.reported_runs)
+    async def check_and_answer(engine, run, answer):
+        still_reported.extend(
+            name for each in engines for name in each.reported_runs
+        )
         await standins.answers_normally(engine, run, answer)
 
-    script = [standins.stops_run_late, goes_on]
+    script = [standins.stops_run_late, check_and_answer]
     for each in engines:
         each.behaviours = script
-    router = await site.router()
-    answer = await asked(router, b"/once/x")
+    router = await cluster.router()
+    answer = await send_request(router, b"/once/x")
     assert (answer.is_whole, answer.body) == (True, EVENTS)
     assert not script
-    assert not listed
+    assert not still_reported
 
 
-async def test_a_run_whose_engine_works_on_is_given_up(site):
-    # The first engine never notices that its connection was closed.
-    engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.never_stops_run)
-    router = await site.router()
-    began_s = time.monotonic()
-    answer = await asked(router, b"/once/x", Deadline_Ms="9000")
+async def test_run_is_given_up_if_its_engine_never_ends_it(cluster):
+    # The first engine lists the run even after its connection was closed.
+    engines = [await cluster.engine(), await cluster.engine()]
+    set_first_behaviour(engines, standins.never_stops_run)
+    router = await cluster.router()
+    started_s = time.monotonic()
+    answer = await send_request(router, b"/once/x", Deadline_Ms="9000")
     assert not answer.is_whole
-    assert time.monotonic() - began_s < 2.5
+    assert time.monotonic() - started_s < 2.5
     assert sum(len(each.runs) for each in engines) == 1
 
 
@@ -744,27 +766,27 @@
         "hangs",
     ],
 )
-async def test_a_run_goes_on_from_its_copy_only_once(site, second):
-    # The continuation fails, and other engines have room.
-    engines = [await site.engine() for _ in range(4)]
+async def test_copy_is_used_only_once(cluster, second):
+    # The continuation fails, and other engines have free slots.
+    engines = [await cluster.engine() for _ in range(4)]
     script = [standins.breaks_after_copy, getattr(standins, second)]
     script.append(standins.answers_normally)
     for each in engines:
         each.behaviours = script
-    router = await site.router()
-    answer = await asked(router, b"/once/x", Deadline_Ms="1500")
+    router = await cluster.router()
+    answer = await send_request(router, b"/once/x", Deadline_Ms="1500")
     assert not answer.is_whole
     assert answer.status == 200
     assert script == [standins.answers_normally]
 
 
-async def test_a_copy_ends_with_the_start_that_held_it(site):
-    # The engine with the copy starts again under its name and address.
-    engines = [await site.engine() for _ in range(3)]
-    first_tried_does(engines, standins.hangs_until_reset)
-    router = await site.router()
-    answer = asyncio.ensure_future(asked(router, b"/once/x"))
-    await until(lambda: any(each.copies for each in engines))
+async def test_copy_is_lost_when_its_holder_restarts(cluster):
+    # The engine with the copy restarts under the same name and address.
+    engines = [await cluster.engine() for _ in range(3)]
+    set_first_behaviour(engines, standins.hangs_until_reset)
+    router = await cluster.router()
+    answer = asyncio.ensure_future(send_request(router, b"/once/x"))
+    await wait_until(lambda: any(each.copies for each in engines))
     holder = next(each for each in engines if each.copies)
     holder.restart()
     next(each for each in engines if each.runs).reset_runs.set()
@@ -772,13 +794,13 @@
     assert sum(len(each.runs) for each in engines) == 1
 
 
-async def test_a_run_whose_weights_changed_goes_on_nowhere(site):
-    # New weights spoil the run at one engine and the copy at another.
-    engines = [await site.engine() for _ in range(3)]
-    first_tried_does(engines, standins.hangs_until_reset)
-    router = await site.router()
-    answer = asyncio.ensure_future(asked(router, b"/once/x"))
-    await until(lambda: any(each.copies for each in engines))
+async def test_run_is_not_continued_if_all_engines_changed_weights(cluster):
+    # New weights invalidate both the run and its copy.
+    engines = [await cluster.engine() for _ in range(3)]
+    set_first_behaviour(engines, standins.hangs_until_reset)
+    router = await cluster.router()
+    answer = asyncio.ensure_future(send_request(router, b"/once/x"))
+    await wait_until(lambda: any(each.copies for each in engines))
     for each in engines:
         each.version = 2
     next(each for each in engines if each.runs).reset_runs.set()
@@ -786,18 +808,19 @@
     assert sum(len(each.runs) for each in engines) == 1
 
 
-async def test_a_run_that_goes_on_under_new_weights_is_not_continued(site):
-    # The run's engine changes weights under it, that with the copy does not.
-    engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.hangs_until_reset)
-    router = await site.router()
-    answer = asyncio.ensure_future(asked(router, b"/once/x"))
-    await until(lambda: any(each.copies for each in engines))
+async def test_run_is_not_continued_if_its_engine_changed_weights(cluster):
+    # The engine of the run loads new weights, the one with the copy does
+    # not.
+    engines = [await cluster.engine(), await cluster.engine()]
+    set_first_behaviour(engines, standins.hangs_until_reset)
+    router = await cluster.router()
+    answer = asyncio.ensure_future(send_request(router, b"/once/x"))
+    await wait_until(lambda: any(each.copies for each in engines))
     first = next(each for each in engines if each.runs)
     first.version = 2
-    site.store.put("servers", first.incarnation, first.entry())
+    cluster.store.put("servers", first.incarnation, first.entry())
     registry = router.state.registry
-    await until(
+    await wait_until(
         lambda: registry.by_name(first.incarnation).weights == {"m": 2}
     )
     first.reset_runs.set()
@@ -807,89 +830,95 @@
 
 @pytest.mark.parametrize(
     "late",
-    (LATE["200 of another"], LATE["503 of another"]),
+    (LATE_ANSWERS["200 of another"], LATE_ANSWERS["503 of another"]),
     ids=("answer", "refusal"),
 )
-async def test_a_requests_late_answer_is_no_report(site, late):
-    # An engine is asked whether a silent run is lost, on a connection on
-    # which the answer to an earlier request comes once more.
-    engines = [await site.engine(), await site.engine()]
-    first_tried_does(engines, standins.stalls_until_report)
-    router = await site.router()
+async def test_late_answer_is_not_read_as_report(cluster, late):
+    # The report on a silent run is requested on a connection on which the
+    # answer to an earlier request arrives again.
+    engines = [await cluster.engine(), await cluster.engine()]
+    set_first_behaviour(engines, standins.stalls_until_report)
+    router = await cluster.router()
     for each in engines:
         each.before_report = [standins.sends_before_report(late)]
-    answer = await asked(router, b"/once/x")
+    answer = await send_request(router, b"/once/x")
     assert (answer.is_whole, answer.body) == (True, EVENTS)
     assert sum(len(each.runs) for each in engines) == 1
 
 
-async def test_a_request_that_crashes_engines_is_stopped(site):
-    # Each engine that runs this request crashes.  Its caller sends it
-    # again and again, to two routers; a third crash must be the last.
-    engines = [await site.engine() for _ in range(6)]
+async def test_request_that_crashes_engines_is_stopped(cluster):
+    # Each engine that runs this request crashes, and the caller repeats it
+    # at two routers.  After three crashes it is refused.
+    engines = [await cluster.engine() for _ in range(6)]
     for each in engines:
         each.behaviours = [standins.resets] * 9
-    first = await site.router("r1")
-    second = await site.router("r2", first.peering.node.address)
-    await until(lambda: second.state.live_routers() == 2)
+    first = await cluster.router("r1")
+    second = await cluster.router("r2", first.peering.node.address)
+    await wait_until(lambda: second.state.live_routers() == 2)
     for _ in range(poison.MAX_CRASHES):
-        await asked(first, b"/once/x", body=b"poison", method=b"POST")
+        await send_request(first, b"/once/x", body=b"poison", method=b"POST")
     runs = sum(len(each.runs) for each in engines)
     assert runs == poison.MAX_CRASHES
-    same = second.state.crash_counts
-    await until(lambda: not same.is_empty)
+    crash_counts = second.state.crash_counts
+    await wait_until(lambda: not crash_counts.is_empty)
     for router in (first, second):
-        await until(lambda: any(map(same.is_poison, same.fingerprints)))
-        answer = await asked(
+        await wait_until(
+            lambda: any(map(crash_counts.is_poison, crash_counts.fingerprints))
+        )
+        answer = await send_request(
             router, b"/once/x", body=b"poison", method=b"POST"
         )
         assert answer.status == 502
     assert sum(len(each.runs) for each in engines) == runs
     for each in engines:
         each.behaviours = []
-    answer = await asked(second, b"/once/x", body=b"other", method=b"POST")
+    answer = await send_request(
+        second, b"/once/x", body=b"other", method=b"POST"
+    )
     assert answer.status == 200
 
 
-async def test_isolated_organisations_share_no_cache(site):
-    engine = await site.engine()
-    router = await site.router()
+async def test_isolated_organisations_share_no_cache(cluster):
+    engine = await cluster.engine()
+    router = await cluster.router()
     for key in ("north", "south"):
-        await asked(router, b"/s/x", Authorization=f"Bearer key-of-{key}")
+        await send_request(
+            router, b"/s/x", Authorization=f"Bearer key-of-{key}"
+        )
     north, south = (run.headers["cache-salt"] for run in engine.runs)
     assert north != south
 
 
-async def test_a_caller_that_leaves_stops_the_engine(site):
-    # The caller closes while his request runs.  The engine must see its
-    # connection close, or it works on for nobody.
-    engine = await site.engine()
+async def test_disconnected_caller_cancels_the_run(cluster):
+    # The caller disconnects during the run.  The engine's connection must
+    # be closed, or it would continue the run in vain.
+    engine = await cluster.engine()
     engine.behaviours.append(standins.hangs)
-    router = await site.router()
-    head, body = request(b"/once/x")
+    router = await cluster.router()
+    head, body = build_request(b"/once/x")
     connection = await client.connect(
         router.request_listener.address, DEADLINE_S
     )
     connection.send(head, body)
-    await until(lambda: engine.runs)
+    await wait_until(lambda: engine.runs)
     connection.abort()
     await asyncio.wait_for(engine.run_cancelled.wait(), DEADLINE_S)
 
 
-async def test_an_upstream_that_leaves_gets_nothing_new(site):
-    leaving, staying = await site.server(), await site.server()
-    router = await site.router()
+async def test_leaving_upstream_gets_no_new_requests(cluster):
+    leaving, staying = await cluster.server(), await cluster.server()
+    router = await cluster.router()
     leaving.state = "draining"
-    site.store.put("servers", leaving.incarnation, leaving.entry())
-    await until(
+    cluster.store.put("servers", leaving.incarnation, leaving.entry())
+    await wait_until(
         lambda: router.state.registry.get(leaving.incarnation).is_leaving
     )
     for _ in range(5):
-        assert (await asked(router, b"/w/x")).status == 200
+        assert (await send_request(router, b"/w/x")).status == 200
     assert len(staying.runs) == 5
 
 
-STRANGE = {
+MALFORMED_ENTRIES = {
     "no fields": {},
     "no table": "a text",
     "a service that is a number": {"service": 5, "address": "10.0.0.1:80"},
@@ -907,125 +936,131 @@
 }
 
 
-@pytest.mark.parametrize("spec", STRANGE.values(), ids=STRANGE.keys())
-async def test_a_strange_entry_costs_itself_alone(site, spec):
-    # Another writer puts something into the registry, then an upstream
-    # comes.  If the strange entry ended the following of the registry,
-    # callers would get 503 although an upstream is there.
-    router = await site.router()
-    site.store.put("servers", "odd", spec)
-    desk = await site.server()
-    known = router.state.registry
-    await until(lambda: known.by_name(desk.incarnation))
-    assert (await asked(router, b"/w/x")).status == 200
-    assert len(known.incarnations) == 1
-    late = await site.router("late")
-    assert (await asked(late, b"/w/x")).status == 200
-
-
-async def test_an_entry_that_turns_strange_names_no_upstream(site):
-    # An upstream's entry is overwritten.  Nobody knows what the upstream
-    # is now, so it gets no work until it has written its entry again.
-    desk, other = await site.server(), await site.server()
-    router = await site.router()
-    site.store.put("servers", desk.incarnation, {"service": None})
-    known = router.state.registry
-    await until(lambda: not known.by_name(desk.incarnation))
+@pytest.mark.parametrize(
+    "spec", MALFORMED_ENTRIES.values(), ids=MALFORMED_ENTRIES.keys()
+)
+async def test_malformed_entry_does_not_affect_others(cluster, spec):
+    # A malformed entry is written to the registry, then an upstream
+    # registers.  If the entry ended the watch, callers would get 503
+    # although an upstream is available.
+    router = await cluster.router()
+    cluster.store.put("servers", "odd", spec)
+    desk = await cluster.server()
+    registry = router.state.registry
+    await wait_until(lambda: registry.by_name(desk.incarnation))
+    assert (await send_request(router, b"/w/x")).status == 200
+    assert len(registry.incarnations) == 1
+    late = await cluster.router("late")
+    assert (await send_request(late, b"/w/x")).status == 200
+
+
+async def test_upstream_whose_entry_turns_malformed_is_not_used(cluster):
+    # An upstream's entry is overwritten by a malformed one.  Its state is
+    # unknown then, so it gets no requests until its entry is valid again.
+    desk, other = await cluster.server(), await cluster.server()
+    router = await cluster.router()
+    cluster.store.put("servers", desk.incarnation, {"service": None})
+    registry = router.state.registry
+    await wait_until(lambda: not registry.by_name(desk.incarnation))
     for _ in range(3):
-        assert (await asked(router, b"/w/x")).status == 200
+        assert (await send_request(router, b"/w/x")).status == 200
     assert len(other.runs) == 3
-    site.store.put("servers", desk.incarnation, desk.entry())
-    await until(lambda: known.by_name(desk.incarnation))
+    cluster.store.put("servers", desk.incarnation, desk.entry())
+    await wait_until(lambda: registry.by_name(desk.incarnation))
 
 
-async def test_an_engine_that_starts_again_is_another(site):
-    # An engine that leaves and holds parts crashes and starts again under
-    # its name, holding nothing.  Believed to be the old one, it would get
-    # no work, or prompts that it has to read.  Its old entry, which comes
-    # once more, changes nothing.
-    engine = await site.engine()
+async def test_restarted_engine_is_a_new_incarnation(cluster):
+    # A leaving engine with cached parts crashes and restarts under the same
+    # name with an empty cache.  With the state of its previous start it
+    # would get no requests, or prompts whose parts it no longer holds.  Its
+    # old entry, which arrives again, must not change anything.
+    engine = await cluster.engine()
     engine.restart()
-    old = engine.entry()
-    site.store.put("servers", engine.incarnation, old)
-    router = await site.router()
-    registry, believed = router.state.registry, router.state.cache
+    old_entry = engine.entry()
+    cluster.store.put("servers", engine.incarnation, old_entry)
+    router = await cluster.router()
+    registry, cache = router.state.registry, router.state.cache
     first = registry.by_name(engine.incarnation).incarnation
-    believed.add_parts(first, "1", (model.Part("aa", 100),))
+    cache.add_parts(first, "1", (model.Part("aa", 100),))
     registry.mark_leaving(first)
     engine.restart()
-    site.store.put("servers", engine.incarnation, engine.entry())
-    await until(
+    cluster.store.put("servers", engine.incarnation, engine.entry())
+    await wait_until(
         lambda: registry.by_name(engine.incarnation).incarnation != first
     )
     second = registry.by_name(engine.incarnation)
     assert not second.is_leaving
     parts = (model.Part("aa", 100),)
-    assert not believed.cached_tokens(second.incarnation, "1", parts)
-    site.store.put("servers", engine.incarnation, old)
-    site.store.put("versions", "m", {"model": "m", "version": 2})
-    await until(lambda: registry.get(second.incarnation).weights == {"m": 2})
+    assert not cache.cached_tokens(second.incarnation, "1", parts)
+    cluster.store.put("servers", engine.incarnation, old_entry)
+    cluster.store.put("versions", "m", {"model": "m", "version": 2})
+    await wait_until(
+        lambda: registry.get(second.incarnation).weights == {"m": 2}
+    )
     assert registry.by_name(engine.incarnation).started_at_ms == engine.born
-    answer = await asked(router, b"/s/x")
+    answer = await send_request(router, b"/s/x")
     assert answer.body == EVENTS
 
 
-async def test_another_process_at_the_address_runs_nothing(site):
-    # An upstream was replaced and its address given to another process,
-    # which the registry has not told yet.  It answers that it is another.
-    desk = await site.server()
-    other = await site.server()
-    router = await site.router()
+async def test_other_process_at_the_address_runs_nothing(cluster):
+    # An upstream was replaced and its address reused by another process,
+    # which the registry does not show yet.  That process answers 421.
+    desk = await cluster.server()
+    other = await cluster.server()
+    router = await cluster.router()
     desk.incarnation = "i-replaced"
     for _ in range(4):
-        assert (await asked(router, b"/w/x")).status == 200
+        assert (await send_request(router, b"/w/x")).status == 200
     assert not desk.runs
     assert len(other.runs) == 4
 
 
-async def test_the_configuration_never_goes_back(site):
-    await site.server()
-    router = await site.router()
-    site.store.put("config", "main", CONFIGURATION | {"version": 5})
-    await until(lambda: router.state.generation == 5)
-    site.store.put("config", "main", CONFIGURATION | {"version": 4})
-    site.store.put("versions", "m", {"model": "m", "version": 2})
-    await until(lambda: router.state.newest_weights)
+async def test_older_configuration_is_ignored(cluster):
+    await cluster.server()
+    router = await cluster.router()
+    cluster.store.put("config", "main", CONFIGURATION | {"version": 5})
+    await wait_until(lambda: router.state.generation == 5)
+    cluster.store.put("config", "main", CONFIGURATION | {"version": 4})
+    cluster.store.put("versions", "m", {"model": "m", "version": 2})
+    await wait_until(lambda: router.state.newest_weights)
     assert router.state.generation == 5
 
 
-async def test_forgotten_history_is_read_anew(site):
-    # The store forgets its history while a watch waits, and in that gap
-    # an upstream goes: only a new list tells it.
-    gone, staying = await site.server(), await site.server()
-    router = await site.router()
-    site.store.mode = "busy"
+async def test_lost_history_triggers_a_new_snapshot(cluster):
+    # The store discards its history while no watch gets through, and an
+    # upstream is removed in that gap: only a new list shows this.
+    removed, staying = await cluster.server(), await cluster.server()
+    router = await cluster.router()
+    cluster.store.mode = "busy"
     await asyncio.sleep(0.3)
-    site.store.delete("servers", gone.incarnation)
-    site.store.forget_history()
-    site.store.mode = "well"
-    names = router.state.registry
-    await until(lambda: names.incarnations == {staying.incarnation})
-
-
-@pytest.mark.parametrize("written_since", (0, 3))
-async def test_what_a_store_lost_is_believed_no_more(site, written_since):
-    # The store comes back from an older copy, and gives revisions out again.
-    staying = await site.server()
-    router = await site.router()
-    names = router.state.registry
-    copy = site.store.back_up()
-    lost = await site.server()
-    await until(lambda: lost.incarnation in names.incarnations)
-    site.store.set_mode("busy")
+    cluster.store.delete("servers", removed.incarnation)
+    cluster.store.forget_history()
+    cluster.store.mode = "well"
+    registry = router.state.registry
+    await wait_until(lambda: registry.incarnations == {staying.incarnation})
+
+
+@pytest.mark.parametrize("later_count", (0, 3))
+async def test_objects_lost_by_a_restored_store_are_dropped(
+    cluster, later_count
+):
+    # The store is restored from an older backup and reissues revisions.
+    staying = await cluster.server()
+    router = await cluster.router()
+    registry = router.state.registry
+    backup = cluster.store.back_up()
+    lost = await cluster.server()
+    await wait_until(lambda: lost.incarnation in registry.incarnations)
+    cluster.store.set_mode("busy")
     await asyncio.sleep(0.3)
-    site.store.restore(copy)
-    since = [await site.server() for _ in range(written_since)]
-    site.store.set_mode("well")
-    expected = {each.incarnation for each in (staying, *since)}
-    await until(lambda: names.incarnations == expected)
+    cluster.store.restore(backup)
+    later = [await cluster.server() for _ in range(later_count)]
+    cluster.store.set_mode("well")
+    expected = {each.incarnation for each in (staying, *later)}
+    await wait_until(lambda: registry.incarnations == expected)
 
 
-CAPPED = {
+CAPPED_CONFIGURATION = {
     **CONFIGURATION,
     "version": 4,
     "tenants": [
@@ -1042,22 +1077,22 @@
 }
 
 
-async def test_beyond_a_cap_is_refused_at_once_and_costs_others_nothing(site):
-    desk = await site.server()
-    router = await site.router()
-    site.store.put("config", "main", CAPPED)
-    await until(lambda: router.state.generation == 4)
-    await until(router.store_watch.has_converged)
-    answers = [await asked(router) for _ in range(30)]
+async def test_requests_beyond_a_cap_get_429_without_affecting_others(cluster):
+    desk = await cluster.server()
+    router = await cluster.router()
+    cluster.store.put("config", "main", CAPPED_CONFIGURATION)
+    await wait_until(lambda: router.state.generation == 4)
+    await wait_until(router.store_watch.has_converged)
+    answers = [await send_request(router) for _ in range(30)]
     refused = [each for each in answers if each.status == 429]
     assert refused and len(refused) == len(answers) - len(desk.runs)
     assert all(float(each.get(b"retry-after")) > 0 for each in refused)
-    other = await asked(router, Authorization="Bearer key-of-south")
+    other = await send_request(router, Authorization="Bearer key-of-south")
     assert other.status == 200
 
 
 @pytest.mark.parametrize(
-    "strange",
+    "malformed",
     [
         {"unit": "pages"},
         {"rate_per_s": -1},
@@ -1065,215 +1100,222 @@
         {"plain_tokens": 0.5},
     ],
 )
-async def test_a_document_with_a_strange_cap_is_refused_whole(site, strange):
-    router = await site.router()
-    tenant = {**CAPPED["tenants"][0], **strange}
-    site.store.put("config", "main", {**CAPPED, "tenants": [tenant]})
-    site.store.put("config", "main", {**CAPPED, "version": 5})
-    await until(lambda: router.state.generation == 5)
+async def test_document_with_a_malformed_cap_is_rejected(cluster, malformed):
+    router = await cluster.router()
+    tenant = {**CAPPED_CONFIGURATION["tenants"][0], **malformed}
+    cluster.store.put(
+        "config", "main", {**CAPPED_CONFIGURATION, "tenants": [tenant]}
+    )
+    cluster.store.put("config", "main", {**CAPPED_CONFIGURATION, "version": 5})
+    await wait_until(lambda: router.state.generation == 5)
     assert router.document.generation == 5
 
 
 @pytest.mark.parametrize("counts", ["-1,5", "5,-1", "1e9,1", "99999999999,1"])
-async def test_a_prompt_of_no_size_is_refused(site, counts):
-    # A negative size would give its organisation units to use.
-    await site.engine()
-    router = await site.router()
-    answer = await asked(router, b"/s/x", Token_Counts=counts)
+async def test_prompt_with_invalid_size_is_refused(cluster, counts):
+    # A negative size would increase the organisation's balance.
+    await cluster.engine()
+    router = await cluster.router()
+    answer = await send_request(router, b"/s/x", Token_Counts=counts)
     assert answer.status == 400
 
 
-async def test_an_outage_of_the_store_stops_nothing(site):
-    await site.server()
-    router = await site.router()
-    site.store.mode = "silent"
+async def test_store_outage_does_not_affect_requests(cluster):
+    await cluster.server()
+    router = await cluster.router()
+    cluster.store.mode = "silent"
     for _ in range(3):
-        assert (await asked(router, b"/w/x")).status == 200
+        assert (await send_request(router, b"/w/x")).status == 200
     assert router.state.is_ready
 
 
-async def test_a_router_starts_from_its_peers(site):
+async def test_router_gets_its_configuration_from_peers(cluster):
     # The store is down when a router starts: it gets the configuration
     # from a peer, and answers 503 until it knows an upstream.
-    await site.server()
-    first = await site.router("r1")
-    site.store.mode = "busy"
-    second = await site.router("r2", first.peering.node.address, ready=False)
-    await until(lambda: second.state.generation == 3)
-    assert (await asked(second, b"/w/x")).status == 503
-
-
-async def test_engines_are_brought_to_new_weights(site):
-    engines = [await site.engine() for _ in range(3)]
-    router = await site.router()
-    site.store.put("versions", "m", {"model": "m", "version": 4})
-    await until(lambda: all(each.version == 4 for each in engines))
-    fences = {each.orders[0]["fence"] for each in engines}
-    assert fences == {decision.min_fencing(site.store.era) + 1}
+    await cluster.server()
+    first = await cluster.router("r1")
+    cluster.store.mode = "busy"
+    second = await cluster.router(
+        "r2", first.peering.node.address, ready=False
+    )
+    await wait_until(lambda: second.state.generation == 3)
+    assert (await send_request(second, b"/w/x")).status == 503
+
+
+async def test_engines_load_new_weights(cluster):
+    engines = [await cluster.engine() for _ in range(3)]
+    router = await cluster.router()
+    cluster.store.put("versions", "m", {"model": "m", "version": 4})
+    await wait_until(lambda: all(each.version == 4 for each in engines))
+    fencing_numbers = {each.orders[0]["fence"] for each in engines}
+    assert fencing_numbers == {decision.min_fencing(cluster.store.era) + 1}
     assert all(len(each.orders) == 1 for each in engines)
-    answer = await asked(router, b"/s/x")
+    answer = await send_request(router, b"/s/x")
     assert answer.body == EVENTS
 
 
-async def test_weights_are_not_learned_from_another_requests_answer(site):
-    # An engine keeps its old weights for as long as it lives: one crossed
-    # answer names newer ones, so that it passes for up to date at this
-    # router, and what is believed of a start's weights only rises.
-    engine = await site.engine()
+async def test_weights_are_not_learned_from_another_requests_answer(cluster):
+    # An answer that belongs to another request names newer weights.  The
+    # version recorded for a start only rises, so if it were taken from that
+    # answer, the engine would count as up to date and keep its old weights.
+    engine = await cluster.engine()
     engine.behaviours = [standins.answers_other_request]
-    router = await site.router()
-    await asked(router, b"/s/x")
-    site.store.put("versions", "m", {"model": "m", "version": 4})
-    await until(lambda: engine.version == 4)
-
-
-async def test_weights_past_their_time_get_no_work(site):
-    # The router that gives the orders is cut off, and new weights were
-    # named almost as long ago as engines have to follow.  A request sent
-    # now could begin too late, so its caller is told at once to come back,
-    # and nothing runs.
-    engine = await site.engine()
-    router = await site.router()
+    router = await cluster.router()
+    await send_request(router, b"/s/x")
+    cluster.store.put("versions", "m", {"model": "m", "version": 4})
+    await wait_until(lambda: engine.version == 4)
+
+
+async def test_engine_with_overdue_weights_gets_no_requests(cluster):
+    # The router that gives load orders is unreachable, and the time limit
+    # for loading the new weights has almost passed.  A request sent now
+    # could start after the limit, so it gets 503 at once and does not run.
+    engine = await cluster.engine()
+    router = await cluster.router()
     engine.busy = True
     bound_s = router.state.pace.bound_s
     router.state.record_weights_version("m", 2, clock.now_s() - bound_s)
-    answer = await asked(router, b"/s/x")
+    answer = await send_request(router, b"/s/x")
     assert answer.status == 503
     assert b"weights_too_old" in answer.body
     assert float(answer.get(b"retry-after")) > 0
     assert not engine.runs
 
 
-async def test_one_router_orders_at_a_time(site):
-    # Two routers see the same new version.  One of them holds the lease
-    # and gives all orders; the other gives none.
-    engines = [await site.engine() for _ in range(3)]
-    first = await site.router("r1")
-    await site.router("r2", first.peering.node.address)
-    site.store.put("versions", "m", {"model": "m", "version": 4})
-    await until(lambda: all(each.version == 4 for each in engines))
+async def test_only_one_router_gives_load_orders(cluster):
+    # Two routers see the same new version; only the lease holder gives
+    # orders.
+    engines = [await cluster.engine() for _ in range(3)]
+    first = await cluster.router("r1")
+    await cluster.router("r2", first.peering.node.address)
+    cluster.store.put("versions", "m", {"model": "m", "version": 4})
+    await wait_until(lambda: all(each.version == 4 for each in engines))
     holders = {order["holder"] for each in engines for order in each.orders}
     assert len(holders) == 1
 
 
-def holder(site):
-    return site.store.get("leases", "weights")["holder"]
+def lease_holder(cluster):
+    return cluster.store.get("leases", "weights")["holder"]
 
 
-async def test_the_lease_passes_on_when_its_holder_stops(site):
-    # The holder is told to stop.  It gives the lease up at once, so that
-    # new weights do not wait until the lease has run out.
-    engine = await site.engine()
-    first = await site.router("r1")
-    second = await site.router("r2", first.peering.node.address)
-    await until(lambda: second.state.live_routers() == 2)
-    site.store.put("versions", "m", {"model": "m", "version": 2})
-    await until(lambda: engine.version == 2)
+async def test_stopping_holder_releases_the_lease(cluster):
+    # A stopping holder releases the lease at once, so that new weights are
+    # not delayed until the lease expires.
+    engine = await cluster.engine()
+    first = await cluster.router("r1")
+    second = await cluster.router("r2", first.peering.node.address)
+    await wait_until(lambda: second.state.live_routers() == 2)
+    cluster.store.put("versions", "m", {"model": "m", "version": 2})
+    await wait_until(lambda: engine.version == 2)
     first.state.stopping = True
-    await until(lambda: not holder(site).startswith("r1."))
-    site.store.put("versions", "m", {"model": "m", "version": 3})
-    await until(lambda: engine.version == 3)
+    await wait_until(lambda: not lease_holder(cluster).startswith("r1."))
+    cluster.store.put("versions", "m", {"model": "m", "version": 3})
+    await wait_until(lambda: engine.version == 3)
     assert engine.orders[-1]["fence"] > engine.orders[0]["fence"]
 
 
-async def test_a_stopping_router_answers_what_it_has_taken(site):
-    # A stop is asked for while requests come on open connections.  Each
-    # is answered whole or told, truthfully, that it has not run.
-    desk = await site.server()
-    router = await site.router()
+async def test_stopping_router_answers_accepted_requests(cluster):
+    # Requests arrive on open connections during a planned stop.  Each gets
+    # a complete answer, or a 503 if it has not run.
+    desk = await cluster.server()
+    router = await cluster.router()
     stop = asyncio.ensure_future(router.drain())
     await asyncio.sleep(0)
     assert not router.state.is_ready
-    answer = await asked(router, b"/w/x")
+    answer = await send_request(router, b"/w/x")
     assert answer.status == 200
     assert answer.get(b"connection") == b"close"
     router.state.stop_at_s = time.clock_gettime(time.CLOCK_BOOTTIME)
-    answer = await asked(router, b"/w/x")
+    answer = await send_request(router, b"/w/x")
     assert answer.status == 503
     assert len(desk.runs) == 1
     await stop
 
 
-async def test_a_stopping_router_takes_no_long_streams_late(site):
-    # A stop has been under way for some seconds when a stream comes on a
-    # connection kept open.  Taken, it would be cut in its midst when the
-    # process ends; it has not run, so its caller is sent elsewhere.
-    engine = await site.engine()
-    router = await site.router()
+async def test_stopping_router_refuses_long_streams(cluster):
+    # A stream arrives on a kept connection some seconds after a planned
+    # stop began.  It would be cut when the process ends, so it is refused
+    # before it runs.
+    engine = await cluster.engine()
+    router = await cluster.router()
     now_s = clock.now_s()
     router.state.stopping = True
     router.state.stopping_since_s = now_s - 4.0
     router.state.stop_at_s = now_s + 2.5
-    answer = await asked(router, b"/s/x")
+    answer = await send_request(router, b"/s/x")
     assert answer.status == 503
     assert not engine.runs
 
 
-async def test_no_upstream_is_a_refusal_at_once(site):
-    router = await site.router()
-    began_s = time.monotonic()
-    answer = await asked(router, b"/w/x")
+async def test_request_without_upstream_is_refused_at_once(cluster):
+    router = await cluster.router()
+    started_s = time.monotonic()
+    answer = await send_request(router, b"/w/x")
     assert answer.status == 503
     assert answer.get(b"retry-after") is not None
-    assert time.monotonic() - began_s < DEADLINE_S
+    assert time.monotonic() - started_s < DEADLINE_S
 
 
 @pytest.fixture
-async def fanned_out(site, monkeypatch):
-    """Three routers of which one reads the registry for all."""
+async def fanout_routers(cluster, monkeypatch):
+    """Start three routers of which one reads the registry for all."""
     monkeypatch.setattr(fanout, "FANOUT_MIN_ROUTERS", 2)
     monkeypatch.setattr(fanout, "READERS", 1)
-    first = await site.router("r1")
+    first = await cluster.router("r1")
     address = first.peering.node.address
-    routers = [first, await site.router("r2", address)]
-    routers.append(await site.router("r3", address))
-    await until(
+    routers = [first, await cluster.router("r2", address)]
+    routers.append(await cluster.router("r3", address))
+    await wait_until(
         lambda: all(each.state.live_routers() == 3 for each in routers)
     )
     return routers
 
 
-def watches(site):
+def count_watches(cluster):
     return sum(
         kind == "servers" and "watch" in query
-        for kind, query in site.store.read_calls
+        for kind, query in cluster.store.read_calls
     )
 
 
-async def test_one_router_reads_the_registry_for_all(site, fanned_out):
-    # Each of many routers watching for itself costs the store a call for
-    # each change and router.
+async def test_one_router_watches_the_registry_for_all(
+    cluster, fanout_routers
+):
+    # If each router watched on its own, each change would cost the store a
+    # call per router.
     await asyncio.sleep(2 * fanout.READER_WAIT_S)
-    site.store.read_calls.clear()
-    desk = await site.server()
-    await until(
+    cluster.store.read_calls.clear()
+    desk = await cluster.server()
+    await wait_until(
         lambda: all(
             desk.incarnation in each.state.registry.incarnations
-            for each in fanned_out
+            for each in fanout_routers
         )
     )
-    assert watches(site) <= 2
-    site.store.put(
+    assert count_watches(cluster) <= 2
+    cluster.store.put(
         "servers", desk.incarnation, desk.entry() | {"state": "draining"}
     )
-    await until(
+    await wait_until(
         lambda: all(
             each.state.registry.get(desk.incarnation).is_leaving
-            for each in fanned_out
+            for each in fanout_routers
         )
     )
 
 
-async def test_followers_go_on_when_their_reader_is_gone(site, fanned_out):
-    # The router that reads for all stops without a word.  The others ask
-    # the store themselves until another is known to read.
-    (name,) = fanout.select_readers(each.state.name for each in fanned_out)
-    reader = next(each for each in fanned_out if each.state.name == name)
-    others = [each for each in fanned_out if each is not reader]
+async def test_followers_read_the_store_when_their_reader_is_gone(
+    cluster, fanout_routers
+):
+    # The reader stops without notice.  The others read the store themselves
+    # until another reader is known.
+    (name,) = fanout.select_readers(each.state.name for each in fanout_routers)
+    reader = next(each for each in fanout_routers if each.state.name == name)
+    others = [each for each in fanout_routers if each is not reader]
     await reader.peering.client._channels.close()
     reader.store_watch._upstream_log.age_s = lambda now_s: float("inf")
-    desk = await site.server()
-    await until(
+    desk = await cluster.server()
+    await wait_until(
         lambda: all(
             desk.incarnation in each.state.registry.incarnations
             for each in others
@@ -1281,9 +1323,9 @@
     )
 
 
-async def test_shared_parts_are_fetched_from_the_store_of_parts(site):
-    # An engine reads a prompt whose shared parts a store may hold.  It is
-    # told where to fetch them and where to keep what it reads.
+async def test_shared_parts_are_fetched_from_the_cache_store(cluster):
+    # The headers of a prompt with shared parts name the cache store to
+    # fetch them from and to save them to.
     configuration = CONFIGURATION | {
         "version": 4,
         "services": [
@@ -1291,20 +1333,20 @@
             {"name": "kept", "kv_store_addr": "127.0.0.1:9", "zone": "za"},
         ],
     }
-    engine = await site.engine()
-    router = await site.router()
-    site.store.put("config", "main", configuration)
-    await until(lambda: router.state.generation == 4)
-    assert (await asked(router, b"/s/x")).body == EVENTS
+    engine = await cluster.engine()
+    router = await cluster.router()
+    cluster.store.put("config", "main", configuration)
+    await wait_until(lambda: router.state.generation == 4)
+    assert (await send_request(router, b"/s/x")).body == EVENTS
     (run,) = engine.runs
     assert run.headers["kv-fetch-from"] == "127.0.0.1:9"
     assert run.headers["kv-save-to"] == "127.0.0.1:9"
 
 
-async def test_a_store_of_parts_that_is_down_is_left_alone(site):
-    # The store of parts does not answer.  An engine that is told to fetch
-    # from it waits some hundred milliseconds in vain for each request.
-    # The router that asks it for its events notices, and tells its peers.
+async def test_unreachable_cache_store_is_not_used(cluster):
+    # An engine that fetches from an unreachable cache store waits some
+    # hundred milliseconds in vain for each request.  The router that polls
+    # the store's events detects the outage and informs its peers.
     configuration = CONFIGURATION | {
         "version": 4,
         "services": [
@@ -1312,17 +1354,17 @@
             {"name": "kept", "kv_store_addr": "127.0.0.1:9", "zone": "za"},
         ],
     }
-    site.store.put("config", "main", configuration)
-    router = await site.router()
+    cluster.store.put("config", "main", configuration)
+    router = await cluster.router()
 
-    def told():
-        found = router.gossip.avoided(clock.now_s())
-        return {each.upstream for each in found}
+    def avoided_upstreams():
+        avoided = router.gossip.avoided(clock.now_s())
+        return {each.upstream for each in avoided}
 
-    await until(lambda: "127.0.0.1:9" in told())
-    engine = await site.engine()
-    await until(
+    await wait_until(lambda: "127.0.0.1:9" in avoided_upstreams())
+    engine = await cluster.engine()
+    await wait_until(
         lambda: engine.incarnation in router.state.registry.incarnations
     )
-    await asked(router, b"/s/x")
+    await send_request(router, b"/s/x")
     assert "kv-fetch-from" not in engine.runs[0].headers
--- /dev/null
+++ b/toucanrudder/platform/tests/test_recorded_runs.py
@@ -0,0 +1,39 @@
+import pytest
+
+from toucanrudder.platform.testing import soaking
+from toucanrudder.platform.testing import standins
+from toucanrudder.soak import oracles
+from toucanrudder.soak import records
+
+CALL = records.Call(
+    "c1", records.Kind.STREAM_ONCE, "r1", 1, 100.0, 100.1, 502, False
+)
+PROMPT = {"prompt-prefix": "a:100"}
+COPY = ("127.0.0.1:9", "c1")
+FROM_COPY = {"kv-from": "127.0.0.1:9/c1"}
+
+SECOND_RUNS = [
+    # existing copies, headers of the second run, whether it counts as new
+    ({COPY}, FROM_COPY, False),
+    (set(), FROM_COPY, True),
+    ({("127.0.0.1:8", "c1")}, FROM_COPY, True),
+    ({COPY}, {}, True),
+]
+
+
+@pytest.mark.parametrize(("copies", "headers", "is_new"), SECOND_RUNS)
+def test_run_from_a_missing_copy_counts_as_new(copies, headers, is_new):
+    """A faulty engine runs a continuation although it holds no copy."""
+    shared = soaking.SharedState(records.Record(calls=[CALL]), copies=copies)
+    for run_headers in (PROMPT, PROMPT | headers):
+        upstream = soaking.Upstream(shared, soaking.ENGINES, "za")
+        upstream.record_run(standins.Run("c1", run_headers, b"/", b""))
+    assert bool(list(oracles.at_most_once(shared.record))) is is_new
+
+
+def test_copy_serves_only_one_run():
+    shared = soaking.SharedState(records.Record(calls=[CALL]), copies={COPY})
+    for run_headers in (PROMPT, PROMPT | FROM_COPY, PROMPT | FROM_COPY):
+        upstream = soaking.Upstream(shared, soaking.ENGINES, "za")
+        upstream.record_run(standins.Run("c1", run_headers, b"/", b""))
+    assert list(oracles.at_most_once(shared.record))
--- a/toucanrudder/platform/tests/test_records.py
+++ b/toucanrudder/platform/tests/test_records.py
@@ -1,4 +1,4 @@
-"""What other writers may put where the platform's own objects belong."""
+"""Tests of parsing the platform's objects, valid and malformed."""
 
 import attrs
 import hypothesis
@@ -39,7 +39,7 @@
     "born": 1_700_000_000_000,
 }
 
-NEWS = {
+CACHE_NEWS = {
     "boot_epoch": 77120,
     "next": 120,
     "lost": False,
@@ -105,7 +105,7 @@
     return typed.read(records.Report, value, "10.0.0.1:80")
 
 
-def read_news(value):
+def read_cache_news(value):
     return typed.read(records.CacheNews, value, "10.0.0.1:80")
 
 
@@ -114,11 +114,11 @@
     "weights": (read_weights, {"model": "m", "version": 2}),
     "configuration": (read_document, CONFIGURATION),
     "report": (read_report, REPORT),
-    "cache news": (read_news, NEWS),
+    "cache news": (read_cache_news, CACHE_NEWS),
 }
 
 
-def test_what_the_platform_writes_is_read():
+def test_valid_objects_are_parsed():
     upstream = read_upstream(ENTRY)
     assert upstream == model.Upstream(
         "i1@1700000000000",
@@ -131,8 +131,8 @@
         name="i1",
         started_at_ms=1_700_000_000_000,
     )
-    found = read_document(CONFIGURATION).configuration
-    (route,) = found.routes
+    configuration = read_document(CONFIGURATION).configuration
+    (route,) = configuration.routes
     assert (route.host, route.timeout_s, route.objective_s) == (
         "h.example",
         4.0,
@@ -140,17 +140,21 @@
     )
     assert route.repetition is model.Repetition.RESUMABLE
     assert route.splits == (model.Split("engines", 90.0),)
-    assert found.services["engines"].engine == model.Engine(64, 90_000, True)
-    assert found.cache_stores == (model.CacheStore("10.0.0.9:80", "za", 2e9),)
-    assert found.organisations == (
+    assert configuration.services["engines"].engine == model.Engine(
+        64, 90_000, True
+    )
+    assert configuration.cache_stores == (
+        model.CacheStore("10.0.0.9:80", "za", 2e9),
+    )
+    assert configuration.organisations == (
         model.Organisation("n", frozenset({"k"}), 1, False),
     )
-    assert found.limits == model.CallerLimits(
+    assert configuration.limits == model.CallerLimits(
         max_body_bytes=10, idle_timeout_s=15.0
     )
 
 
-STRANGE_ENTRIES = {
+MALFORMED_ENTRIES = {
     "no service": {"service": None},
     "address is a number": {"address": 8080},
     "address is a name": {"address": "host.example:80"},
@@ -174,29 +178,29 @@
 
 
 @pytest.mark.parametrize(
-    "change", STRANGE_ENTRIES.values(), ids=STRANGE_ENTRIES.keys()
+    "change", MALFORMED_ENTRIES.values(), ids=MALFORMED_ENTRIES.keys()
 )
-def test_a_strange_entry_names_no_upstream(change):
+def test_malformed_entry_is_rejected(change):
     with pytest.raises(interface.MalformedObject):
         read_upstream(ENTRY | change)
 
 
 @pytest.mark.parametrize("value", [None, "text", [], 7, {}, [ENTRY]])
 @pytest.mark.parametrize("read", [each for each, _ in READERS.values()])
-def test_what_is_no_record_is_refused(read, value):
+def test_values_that_are_no_records_are_rejected(read, value):
     with pytest.raises(interface.MalformedObject):
         read(value)
 
 
-def test_a_strange_object_is_logged_once(caplog):
+def test_malformed_object_is_logged_once(caplog):
     for _ in range(3):
         entry = stored("servers", "once", ENTRY | {"slots": "many"})
         assert strange.decode_or_none(objects.read_upstream, entry) is None
-    found = [each for each in caplog.records if each.name == strange.__name__]
-    assert len(found) == 1
+    logged = [each for each in caplog.records if each.name == strange.__name__]
+    assert len(logged) == 1
 
 
-ANYTHING = strategies.recursive(
+ANY_JSON_VALUE = strategies.recursive(
     strategies.none()
     | strategies.booleans()
     | strategies.integers()
@@ -213,19 +217,19 @@
 
 
 def paths(value, before=()):
-    """Return the way to each place in a value."""
+    """Yield the path of each value nested in a value."""
     yield before
-    places = ()
+    children = ()
     if isinstance(value, dict):
-        places = value.items()
+        children = value.items()
     elif isinstance(value, list):
-        places = enumerate(value)
-    for key, inner in places:
+        children = enumerate(value)
+    for key, inner in children:
         yield from paths(inner, (*before, key))
 
 
-def spoilt(value, path, replacement, *, leave_out):
-    """Return a copy in which one place holds something else, or nothing."""
+def replace_at(value, path, replacement, *, leave_out):
+    """Return a copy with the value at a path replaced or left out."""
     if not path:
         return replacement
     copy = value.copy()
@@ -233,65 +237,67 @@
     if not rest and leave_out and isinstance(copy, dict):
         del copy[key]
     else:
-        copy[key] = spoilt(copy[key], rest, replacement, leave_out=leave_out)
+        copy[key] = replace_at(
+            copy[key], rest, replacement, leave_out=leave_out
+        )
     return copy
 
 
 def check_types(value):
-    """Check that an attrs object's fields have the types that they say."""
+    """Check that an attrs object's fields have their declared types."""
     for field in attrs.fields(type(value)):
-        held = getattr(value, field.name)
+        actual = getattr(value, field.name)
         if field.type in (int, str, bool):
-            assert type(held) is field.type
-        if attrs.has(type(held)):
-            check_types(held)
-        if isinstance(held, tuple):
-            for each in filter(lambda one: attrs.has(type(one)), held):
+            assert type(actual) is field.type
+        if attrs.has(type(actual)):
+            check_types(actual)
+        if isinstance(actual, tuple):
+            for each in filter(lambda item: attrs.has(type(item)), actual):
                 check_types(each)
 
 
 @hypothesis.settings(derandomize=True, max_examples=400, deadline=None)
 @hypothesis.given(data=strategies.data())
 @pytest.mark.parametrize(
-    ("read", "good"), READERS.values(), ids=READERS.keys()
+    ("read", "valid"), READERS.values(), ids=READERS.keys()
 )
-def test_spoilt_words_are_refused_or_read_with_their_types(read, good, data):
-    # Another writer, or a broken one, changes any field to anything.  The
-    # reader gives a record whose fields have their types, or the one
-    # error that costs this object alone.
-    path = data.draw(strategies.sampled_from(list(paths(good))))
-    value = spoilt(
-        good,
+def test_corrupted_objects_are_rejected_or_have_valid_types(read, valid, data):
+    # Any field of an object may hold any value.  The reader must return a
+    # record whose fields have their declared types, or raise
+    # `MalformedObject`, which affects only this object.
+    path = data.draw(strategies.sampled_from(list(paths(valid))))
+    value = replace_at(
+        valid,
         path,
-        data.draw(ANYTHING),
+        data.draw(ANY_JSON_VALUE),
         leave_out=data.draw(strategies.booleans()),
     )
     try:
-        found = read(value)
+        parsed = read(value)
     except interface.MalformedObject:
         return
-    if attrs.has(type(found)):
-        check_types(found)
+    if attrs.has(type(parsed)):
+        check_types(parsed)
 
 
 @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
 @hypothesis.given(content=strategies.binary(max_size=60))
-def test_bytes_that_cannot_be_read_have_one_error(content):
+def test_unparsable_bytes_raise_one_error(content):
     try:
         calls.parsed(content)
     except calls.Unreadable:
         return
 
 
-def test_one_unreadable_entry_leaves_the_list_readable():
-    # One entry of a list holds bytes that are no text.  The strict parser
-    # refuses the whole list, so no entry would be read any more.
+def test_invalid_utf8_in_one_entry_does_not_affect_the_list():
+    # The strict JSON parser rejects the whole list if one entry holds
+    # invalid UTF-8, so no entry would be read any more.
     content = orjson.dumps({"items": [{"a": "good"}, {"a": "XX"}]})
-    found = calls.parsed(content.replace(b"XX", b"\xff\xfe"))
-    assert found["items"][0] == {"a": "good"}
+    parsed = calls.parsed(content.replace(b"XX", b"\xff\xfe"))
+    assert parsed["items"][0] == {"a": "good"}
 
 
-def test_a_peers_unreadable_document_is_refused():
+def test_unreadable_document_of_a_peer_is_rejected():
     for content in (b"", b"\xff", b"[]", b'{"version": "7"}'):
         with pytest.raises(interface.MalformedObject):
             objects.decode_document(content)
--- a/toucanrudder/platform/tests/test_start.py
+++ b/toucanrudder/platform/tests/test_start.py
@@ -1,11 +1,11 @@
-"""The entry point, before the router serves."""
+"""Tests of the entry point before the router serves."""
 
 import subprocess
 import sys
 import textwrap
 
-#: Ends the start at the first import of the router, and tells whether a
-#: hang-up would have ended it.
+#: Stops startup at the first import of the router; exit status 0 if SIGHUP
+#: is ignored by then, 1 if it would end the process.
 PROBE = """
 import runpy
 import signal
@@ -32,11 +32,11 @@
 """
 
 
-def test_a_hang_up_during_the_start_does_not_end_it():
-    # Settings change on all routers at once, and one of them is just
-    # starting.  A hang-up ends a process that has not said what it does
-    # with it: callers find one router less, for as long as a start takes.
-    found = subprocess.run(
+def test_sighup_during_startup_is_ignored():
+    # SIGHUP is sent to all routers when settings change, also to one that is
+    # starting.  Its default action would end the process, and one router
+    # would be missing for the time of another start.
+    result = subprocess.run(
         [sys.executable, "-c", textwrap.dedent(PROBE)], check=False
     )
-    assert found.returncode == 0
+    assert result.returncode == 0
