--- a/toucanrudder/platform/testing/soaking.py
+++ b/toucanrudder/platform/testing/soaking.py
@@ -193,7 +193,7 @@
         self.shared = shared
         self.proxy_address = ""
         self.is_poisoned = asyncio.Event()
-        self.default_behaviour = answer_normally
+        self.default_behaviour = answers_normally
         self._running = 0
 
     def entry(self) -> dict:
@@ -332,14 +332,14 @@
     return address, identity
 
 
-async def answer_normally(
+async def answers_normally(
     upstream: Upstream, run: standins.Run, answer
 ) -> None:
     """Answer without faults."""
     await upstream.serve(run, answer)
 
 
-def _record_and(behaviour):
+def _record_run_then(behaviour):
     async def behave(upstream: Upstream, run: standins.Run, answer) -> None:
         upstream.record_run(run)
         await behaviour(upstream, run, answer)
@@ -350,11 +350,11 @@
 #: What a faulty upstream does with some of its requests.
 FAULTY_BEHAVIOURS = (
     standins.sheds,
-    _record_and(standins.resets),
-    _record_and(standins.answers_500),
-    _record_and(standins.answers_other_request),
-    _record_and(standins.answers_unsealed),
-    _record_and(standins.hangs),
+    _record_run_then(standins.resets),
+    _record_run_then(standins.answers_500),
+    _record_run_then(standins.answers_other_request),
+    _record_run_then(standins.answers_unsealed),
+    _record_run_then(standins.hangs),
 )
 
 WEIGHTS_KIND = objects.WEIGHTS_KIND
--- a/toucanrudder/soak/faults.py
+++ b/toucanrudder/soak/faults.py
@@ -173,7 +173,7 @@
             return
 
         async def behaves(standin, run, answer):
-            behaviour = soaking.answer_normally
+            behaviour = soaking.answers_normally
             if self._rng.random() < SICK_SHARE:
                 behaviour = self._rng.choice(soaking.FAULTY_BEHAVIOURS)
             await behaviour(standin, run, answer)
@@ -181,7 +181,7 @@
         with self._span("upstream sick", upstream.standin.incarnation):
             upstream.standin.default_behaviour = behaves
             await asyncio.sleep(step.for_s)
-            upstream.standin.default_behaviour = soaking.answer_normally
+            upstream.standin.default_behaviour = soaking.answers_normally
 
     async def _crash(self, step: plans.Step) -> None:
         upstream = self._upstream(step)
