--- a/toucanrudder/forwarding/daemon.py
+++ b/toucanrudder/forwarding/daemon.py
@@ -215,13 +215,13 @@
     async def _answer_readiness(self, request, answer: server.Answer) -> None:
         is_ready = self.state.is_ready
         text = b"ok\n" if is_ready else b"not ready\n"
-        await answer.whole(200 if is_ready else 503, (), text)
+        await answer.send_whole(200 if is_ready else 503, (), text)
 
     async def _answer_metrics(self, request, answer: server.Answer) -> None:
         headers: message.Headers = (
             (b"Content-Type", b"text/plain; version=0.0.4"),
         )
-        await answer.whole(200, headers, metrics.page())
+        await answer.send_whole(200, headers, metrics.page())
 
     # Controllers.
 
--- a/toucanrudder/forwarding/execution.py
+++ b/toucanrudder/forwarding/execution.py
@@ -470,7 +470,7 @@
         """Send a complete upstream answer to the caller."""
         self._record_first_part(head.status)
         headers = message.end_to_end(head.headers, (b"content-length",))
-        await self.answer.whole(head.status, headers, body)
+        await self.answer.send_whole(head.status, headers, body)
 
     async def start_stream(self, head: message.AnswerHead) -> None:
         """Send the head of a streamed upstream answer to the caller."""
--- a/toucanrudder/forwarding/forwarder.py
+++ b/toucanrudder/forwarding/forwarder.py
@@ -202,7 +202,7 @@
             answer.abort()
             return
         headers, body = self.dialect.error_answer(error, summary.request_id)
-        await answer.whole(error.status, headers, body)
+        await answer.send_whole(error.status, headers, body)
 
 
 def _check_poison(execution: executions.RequestExecution) -> None:
--- a/toucanrudder/http1/server.py
+++ b/toucanrudder/http1/server.py
@@ -156,7 +156,7 @@
         await self._connection.write(h11.EndOfMessage())
         self.ended = True
 
-    async def whole(
+    async def send_whole(
         self, status: int, headers: message.Headers, body: bytes
     ) -> None:
         """Send a whole answer in one write."""
--- a/toucanrudder/http1/tests/test_server.py
+++ b/toucanrudder/http1/tests/test_server.py
@@ -45,7 +45,9 @@
         except asyncio.CancelledError:
             self.cancelled.set()
             raise
-        await answer.whole(200, ((b"X-Path", request.head.target),), b"ok")
+        await answer.send_whole(
+            200, ((b"X-Path", request.head.target),), b"ok"
+        )
 
 
 @contextlib.asynccontextmanager
--- a/toucanrudder/platform/testing/soaking.py
+++ b/toucanrudder/platform/testing/soaking.py
@@ -214,14 +214,14 @@
 
     async def _order(self, order: dict, answer) -> None:
         if self.is_fenced(order):
-            await answer.whole(412, standins.JSON, b"{}")
+            await answer.send_whole(412, standins.JSON, b"{}")
             return
         if self.busy or order["expected"] != len(self.orders):
-            await answer.whole(409, standins.JSON, b"{}")
+            await answer.send_whole(409, standins.JSON, b"{}")
             return
         self.orders.append(order)
         self.busy = True
-        await answer.whole(202, standins.JSON, b"{}")
+        await answer.send_whole(202, standins.JSON, b"{}")
         while order["mode"] == "block" and self._running:
             await asyncio.sleep(0.01)
         await asyncio.sleep(LOAD_TIME_S)
@@ -304,7 +304,7 @@
             await asyncio.Event().wait()
         if not self.model:
             await asyncio.sleep(EVENT_GAP_S)
-            await answer.whole(
+            await answer.send_whole(
                 200, self.answer_headers(run), run.request_id.encode()
             )
             return
--- a/toucanrudder/platform/testing/standins.py
+++ b/toucanrudder/platform/testing/standins.py
@@ -167,7 +167,7 @@
         if self.mode == "silent":
             await asyncio.Event().wait()
         if self.mode == "busy":
-            await answer.whole(503, self._headers(), b"{}")
+            await answer.send_whole(503, self._headers(), b"{}")
             return
         target = urllib.parse.urlsplit(request.head.target.decode())
         query = dict(urllib.parse.parse_qsl(target.query))
@@ -185,7 +185,7 @@
                 answer.abort()
                 answer.ended = True
                 return
-        await answer.whole(status, self._headers(), orjson.dumps(body))
+        await answer.send_whole(status, self._headers(), orjson.dumps(body))
 
     def _headers(self) -> tuple[tuple[bytes, bytes], ...]:
         return (*JSON, (b"Store-Era", str(self.era).encode()))
@@ -359,14 +359,14 @@
                 mismatch_headers.append(
                     (b"Request-Id", headers["request-id"].encode())
                 )
-            await answer.whole(421, tuple(mismatch_headers), b"")
+            await answer.send_whole(421, tuple(mismatch_headers), b"")
         elif path == b"/report":
             if self.before_report:
                 await self.before_report.pop(0)(self, answer)
             if answer.ended:
                 return
             self.report_requested.set()
-            await answer.whole(200, JSON, orjson.dumps(self._report()))
+            await answer.send_whole(200, JSON, orjson.dumps(self._report()))
         elif path == b"/order":
             await self._order(orjson.loads(request.body), answer)
         else:
@@ -387,7 +387,7 @@
             "events": [],
             **self._born_field(),
         }
-        await answer.whole(200, JSON, orjson.dumps(body))
+        await answer.send_whole(200, JSON, orjson.dumps(body))
 
     def _report(self) -> dict:
         return {
@@ -409,11 +409,11 @@
 
     async def _order(self, order: dict, answer) -> None:
         if self.is_fenced(order):
-            await answer.whole(412, JSON, b"{}")
+            await answer.send_whole(412, JSON, b"{}")
             return
         self.orders.append(order)
         self.version = order["version"]
-        await answer.whole(202, JSON, b"{}")
+        await answer.send_whole(202, JSON, b"{}")
 
     async def _run(self, run: Run, answer) -> None:
         behaviour = (
@@ -532,7 +532,7 @@
         return
     upstream.runs.append(run)
     if not upstream.model:
-        await answer.whole(
+        await answer.send_whole(
             200, upstream.answer_headers(run), run.body or b"done"
         )
         return
@@ -558,20 +558,20 @@
         (b"Not-Executed", b"1"),
         (b"Request-Id", run.request_id.encode()),
     )
-    await answer.whole(503, headers, b"")
+    await answer.send_whole(503, headers, b"")
 
 
 async def answers_as_other_instance(
     upstream: Server, run: Run, answer
 ) -> None:
     """Answer that another instance has the address."""
-    await answer.whole(421, (), b"")
+    await answer.send_whole(421, (), b"")
 
 
 async def has_other_weights(upstream: Server, run: Run, answer) -> None:
     """Answer that the expected weights are not loaded."""
     headers = ((b"Instance-Id", upstream.incarnation.encode()),)
-    await answer.whole(421, headers, b"")
+    await answer.send_whole(421, headers, b"")
 
 
 async def resets(upstream: Server, run: Run, answer) -> None:
@@ -584,13 +584,13 @@
 async def answers_500(upstream: Server, run: Run, answer) -> None:
     """Run the request and answer with a genuine status 500."""
     upstream.runs.append(run)
-    await answer.whole(500, upstream.answer_headers(run), b"failed")
+    await answer.send_whole(500, upstream.answer_headers(run), b"failed")
 
 
 async def claims_not_run(upstream: Server, run: Run, answer) -> None:
     """Run the request and answer 429 without Not-Executed."""
     upstream.runs.append(run)
-    await answer.whole(429, upstream.answer_headers(run), b"too many")
+    await answer.send_whole(429, upstream.answer_headers(run), b"too many")
 
 
 async def hangs(upstream: Server, run: Run, answer) -> None:
@@ -607,14 +607,14 @@
         (b"Server-Seal", b"s"),
         (b"Weight-Versions", b"9"),
     )
-    await answer.whole(200, headers, b"not yours")
+    await answer.send_whole(200, headers, b"not yours")
 
 
 async def answers_unsealed(upstream: Server, run: Run, answer) -> None:
     """Run the request and answer without Server-Seal."""
     upstream.runs.append(run)
     headers = ((b"Request-Id", run.request_id.encode()),)
-    await answer.whole(200, headers, b"rubbish")
+    await answer.send_whole(200, headers, b"rubbish")
 
 
 async def breaks_mid_event(upstream: Server, run: Run, answer) -> None:
