--- a/toucanrudder/forwarding/attempt.py
+++ b/toucanrudder/forwarding/attempt.py
@@ -458,7 +458,7 @@
             self.evidence.silence = retry_policy.SilenceFinding.NO_REPORT
             return False
         self.evidence.silence = retry_policy.SilenceFinding.NONE
-        if connection.has_news:
+        if connection.has_pending_event:
             # The report may count events that arrived since it was requested.
             return False
         request_id = self.execution.call.request_id
--- a/toucanrudder/http1/client.py
+++ b/toucanrudder/http1/client.py
@@ -193,7 +193,7 @@
         return self._sent
 
     @property
-    def has_news(self) -> bool:
+    def has_pending_event(self) -> bool:
         """Whether `next_event` has something to return or raise."""
         return bool(self._events) or self._fault is not None
 
