--- a/toucanrudder/forwarding/attempt.py
+++ b/toucanrudder/forwarding/attempt.py
@@ -195,7 +195,7 @@
                 CONNECT_TIMEOUT_S, self.execution.remaining_s()
             ),
             clock=clock.now_s,
-            newest_idle_s=max_idle_s,
+            max_idle_s=max_idle_s,
             without=self.execution.used_connections,
         )
 
--- a/toucanrudder/http1/pool.py
+++ b/toucanrudder/http1/pool.py
@@ -49,7 +49,7 @@
         self,
         address: str,
         now_s: float,
-        newest_idle_s: float,
+        max_idle_s: float,
         without: Collection[client.UpstreamConnection],
     ) -> client.UpstreamConnection | None:
         kept = self._kept.pop(address, [])
@@ -57,7 +57,7 @@
         while kept and found is None:
             newest = kept.pop()
             idle_s = now_s - newest.idle_since_s
-            limit_s = min(newest.keep_for_s or 0.0, newest_idle_s)
+            limit_s = min(newest.keep_for_s or 0.0, max_idle_s)
             if not newest.usable or idle_s >= limit_s:
                 newest.abort()
             elif newest in without:
@@ -91,7 +91,7 @@
         *,
         connect_timeout_s: float,
         clock,
-        newest_idle_s: float = float("inf"),
+        max_idle_s: float = float("inf"),
         without: Collection[client.UpstreamConnection] = (),
     ) -> AsyncIterator[client.UpstreamConnection]:
         """Lend a connection for one exchange.
@@ -107,7 +107,7 @@
             Longest wait for a new connection.
         clock : callable
             Monotonic time in seconds.
-        newest_idle_s : float
+        max_idle_s : float
             A connection that was idle for longer is not taken.
         without : collection of UpstreamConnection
             These are not taken, and stay kept.
@@ -117,7 +117,7 @@
         ExchangeError
             ``NOT_CONNECTED``.
         """
-        found = self._take(address, clock(), newest_idle_s, without)
+        found = self._take(address, clock(), max_idle_s, without)
         if found is None:
             found = await client.connect(address, connect_timeout_s)
             self.opened += 1
