--- a/toucanrudder/http1/message.py
+++ b/toucanrudder/http1/message.py
@@ -39,7 +39,7 @@
 
     def get(self, name: bytes) -> bytes | None:
         """Return the first value of a field, by its lower-case name."""
-        return first(self.headers, name)
+        return first_value(self.headers, name)
 
 
 @attrs.frozen
@@ -51,15 +51,15 @@
 
     def get(self, name: bytes) -> bytes | None:
         """Return the first value of a field, by its lower-case name."""
-        return first(self.headers, name)
+        return first_value(self.headers, name)
 
 
-def first(headers: Headers, name: bytes) -> bytes | None:
+def first_value(headers: Headers, name: bytes) -> bytes | None:
     """Return the first value of a field, by its lower-case name.
 
     Examples
     --------
-    >>> first(((b"X-A", b"1"),), b"x-a")
+    >>> first_value(((b"X-A", b"1"),), b"x-a")
     b'1'
     """
     for key, value in headers:
@@ -84,7 +84,7 @@
     ((b'X-A', b'1'),)
     """
     dropped = _HOP_BY_HOP.union(without)
-    named = first(headers, b"connection")
+    named = first_value(headers, b"connection")
     if named is not None:
         dropped = dropped.union(
             each.strip().lower() for each in named.split(b",")
@@ -96,5 +96,5 @@
 
 def closes(headers: Headers) -> bool:
     """Whether the sender will close the connection after this message."""
-    value = first(headers, b"connection")
+    value = first_value(headers, b"connection")
     return value is not None and b"close" in value.lower()
--- a/toucanrudder/http1/pool.py
+++ b/toucanrudder/http1/pool.py
@@ -34,7 +34,7 @@
     """
     if message.closes(headers):
         return 0.0
-    found = _TIMEOUT.search(message.first(headers, b"keep-alive") or b"")
+    found = _TIMEOUT.search(message.first_value(headers, b"keep-alive") or b"")
     return KEEP_SHARE * int(found[1]) if found else KEEP_S
 
 
--- a/toucanrudder/http1/server.py
+++ b/toucanrudder/http1/server.py
@@ -312,7 +312,7 @@
             return
         self._head = head
         self._raw_head.clear()
-        length = message.first(tuple(head.headers), b"content-length")
+        length = message.first_value(tuple(head.headers), b"content-length")
         if length is not None and int(length) > self._limits.max_body_bytes:
             self._refuse(Refusal.BODY_TOO_LARGE)
             return
--- a/toucanrudder/store/rest.py
+++ b/toucanrudder/store/rest.py
@@ -151,7 +151,9 @@
     def _era(self, headers: message.Headers) -> int:
         if not self.era_field:
             return 0
-        return self.era_guard.check(message.first(headers, self.era_field))
+        return self.era_guard.check(
+            message.first_value(headers, self.era_field)
+        )
 
 
 class RestStore(interface.ConditionalStore):
