--- a/toucanrudder/http1/calls.py
+++ b/toucanrudder/http1/calls.py
@@ -48,7 +48,7 @@
     headers: message.Headers = ()
 
 
-def parsed(content: bytes) -> object:
+def parse_json(content: bytes) -> object:
     """Return what JSON says, also if it holds bytes that are no text.
 
     Failure: one object of a list holds such bytes.  Symptom: a strict
@@ -59,7 +59,7 @@
 
     Examples
     --------
-    >>> parsed(b'["a", "\\xff"]')[0]
+    >>> parse_json(b'["a", "\\xff"]')[0]
     'a'
     """
     if not content:
@@ -187,7 +187,7 @@
             raise Crossed("the answer is to something else")
         connection.keep_for_s = pool.keep_for_s(answer.headers)
         received = await _received(connection)
-    return Answer(answer.status, parsed(received), answer.headers)
+    return Answer(answer.status, parse_json(received), answer.headers)
 
 
 async def _received(connection: client.UpstreamConnection) -> bytes:
--- a/toucanrudder/http1/tests/test_calls.py
+++ b/toucanrudder/http1/tests/test_calls.py
@@ -25,7 +25,7 @@
     # Another writer's entry holds what the strict parser refuses.  Routers
     # that read the registry for others write it as strict JSON again: if
     # that failed, none of their followers would hear of any change.
-    orjson.dumps(calls.parsed(content))
+    orjson.dumps(calls.parse_json(content))
 
 
 @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
@@ -37,7 +37,7 @@
 )
 def test_whatever_is_read_can_be_written(text):
     try:
-        found = calls.parsed(text.encode())
+        found = calls.parse_json(text.encode())
     except calls.Unreadable:
         return
     orjson.dumps(found)
--- a/toucanrudder/platform/tests/test_records.py
+++ b/toucanrudder/platform/tests/test_records.py
@@ -284,7 +284,7 @@
 @hypothesis.given(content=strategies.binary(max_size=60))
 def test_unparsable_bytes_raise_one_error(content):
     try:
-        calls.parsed(content)
+        calls.parse_json(content)
     except calls.Unreadable:
         return
 
@@ -293,7 +293,7 @@
     # The strict JSON parser rejects the whole list if one entry holds
     # invalid UTF-8, so no entry would be read any more.
     content = orjson.dumps({"items": [{"a": "good"}, {"a": "XX"}]})
-    parsed = calls.parsed(content.replace(b"XX", b"\xff\xfe"))
+    parsed = calls.parse_json(content.replace(b"XX", b"\xff\xfe"))
     assert parsed["items"][0] == {"a": "good"}
 
 
