--- a/toucanrudder/http1/calls.py
+++ b/toucanrudder/http1/calls.py
@@ -116,7 +116,7 @@
     timeout_s: float,
     connect_timeout_s: float,
     clock: Callable[[], float],
-    foreign: bytes | None = None,
+    foreign_header: bytes | None = None,
 ) -> Answer:
     """Return the whole answer to one request.
 
@@ -136,7 +136,7 @@
         For all, and for a new connection.
     clock : callable
         Monotonic time in seconds.
-    foreign : bytes or None
+    foreign_header : bytes or None
         Lower-case name of a field that is borne only by answers to what
         shares the connections.
 
@@ -160,7 +160,7 @@
         ),
         head,
         content,
-        foreign,
+        foreign_header,
     )
     async with asyncio.timeout(timeout_s):
         try:
@@ -178,12 +178,12 @@
     ],
     head: message.RequestHead,
     content: bytes,
-    foreign: bytes | None,
+    foreign_header: bytes | None,
 ) -> Answer:
     async with lent() as connection:
         connection.send(head, content)
         answer = await connection.next_event()
-        if foreign is not None and answer.get(foreign):
+        if foreign_header is not None and answer.get(foreign_header):
             raise Crossed("the answer is to something else")
         connection.keep_for_s = pool.keep_for_s(answer.headers)
         received = await _received(connection)
--- a/toucanrudder/http1/tests/test_calls.py
+++ b/toucanrudder/http1/tests/test_calls.py
@@ -70,7 +70,7 @@
         timeout_s=5,
         connect_timeout_s=5,
         clock=asyncio.get_running_loop().time,
-        foreign=b"x-named",
+        foreign_header=b"x-named",
     )
     if asked == 1:
         with pytest.raises(calls.Crossed):
--- a/toucanrudder/platform/orders.py
+++ b/toucanrudder/platform/orders.py
@@ -143,7 +143,7 @@
                 timeout_s=timeout_s,
                 connect_timeout_s=CONNECT_TIMEOUT_S,
                 clock=self._clock,
-                foreign=b"request-id",
+                foreign_header=b"request-id",
             )
         except (client.ExchangeError, TimeoutError, calls.Unreadable) as error:
             LOG.info("no answer to %s: %r", path, error)
