--- a/toucanrudder/forwarding/attempt.py
+++ b/toucanrudder/forwarding/attempt.py
@@ -196,7 +196,7 @@
             ),
             clock=clock.now_s,
             max_idle_s=max_idle_s,
-            without=self.execution.used_connections,
+            excluded=self.execution.used_connections,
         )
 
     def _send(
--- a/toucanrudder/http1/pool.py
+++ b/toucanrudder/http1/pool.py
@@ -50,7 +50,7 @@
         address: str,
         now_s: float,
         max_idle_s: float,
-        without: Collection[client.UpstreamConnection],
+        excluded: Collection[client.UpstreamConnection],
     ) -> client.UpstreamConnection | None:
         kept = self._kept.pop(address, [])
         found, passed_over = None, []
@@ -60,7 +60,7 @@
             limit_s = min(newest.keep_for_s or 0.0, max_idle_s)
             if not newest.usable or idle_s >= limit_s:
                 newest.abort()
-            elif newest in without:
+            elif newest in excluded:
                 passed_over.append(newest)
             else:
                 found = newest
@@ -92,7 +92,7 @@
         connect_timeout_s: float,
         clock,
         max_idle_s: float = float("inf"),
-        without: Collection[client.UpstreamConnection] = (),
+        excluded: Collection[client.UpstreamConnection] = (),
     ) -> AsyncIterator[client.UpstreamConnection]:
         """Lend a connection for one exchange.
 
@@ -109,7 +109,7 @@
             Monotonic time in seconds.
         max_idle_s : float
             A connection that was idle for longer is not taken.
-        without : collection of UpstreamConnection
+        excluded : collection of UpstreamConnection
             These are not taken, and stay kept.
 
         Raises
@@ -117,7 +117,7 @@
         ExchangeError
             ``NOT_CONNECTED``.
         """
-        found = self._take(address, clock(), max_idle_s, without)
+        found = self._take(address, clock(), max_idle_s, excluded)
         if found is None:
             found = await client.connect(address, connect_timeout_s)
             self.opened += 1
--- a/toucanrudder/http1/tests/test_client.py
+++ b/toucanrudder/http1/tests/test_client.py
@@ -163,11 +163,11 @@
         async with lent(connections, upstream) as first:
             head, _ = await exchanged(first)
             first.keep_for_s = pool.keep_for_s(head.headers)
-        async with lent(connections, upstream, without=[first]) as second:
+        async with lent(connections, upstream, excluded=[first]) as second:
             head, _ = await exchanged(second)
             second.keep_for_s = pool.keep_for_s(head.headers)
         assert second is not first
-        async with lent(connections, upstream, without=[second]) as third:
+        async with lent(connections, upstream, excluded=[second]) as third:
             await exchanged(third)
         assert third is first
         connections.close()
