--- a/toucanrudder/errors/__init__.py
+++ b/toucanrudder/errors/__init__.py
@@ -1,4 +1,4 @@
-"""Error codes and the exceptions that carry them."""
+"""Error codes and the exception that carries them."""
 
 from toucanrudder.errors.codes import Code
 from toucanrudder.errors.codes import Ran
--- a/toucanrudder/errors/codes.py
+++ b/toucanrudder/errors/codes.py
@@ -1,4 +1,4 @@
-"""Every code that a caller or an operator may be given."""
+"""Error codes that callers and operators may receive."""
 
 import enum
 import http
@@ -7,10 +7,10 @@
 
 
 class Ran(enum.Enum):
-    """What a refusal says about the request's execution.
+    """Whether a refused request was executed.
 
-    ``NOT_RUN`` is a promise: no upstream can have started the request.
-    Whoever cannot prove that says ``UNKNOWN``.
+    ``NOT_RUN`` guarantees that no upstream can have started the request.
+    Code that cannot prove this must report ``UNKNOWN``.
     """
 
     NOT_RUN = "not_run"
@@ -19,7 +19,7 @@
 
 
 class Code(enum.Enum):
-    """Names of all errors; the value is what goes over the wire."""
+    """Error codes; the values are sent over the wire."""
 
     MALFORMED_JSON = "malformed_json"
     INVALID_REQUEST = "invalid_request"
@@ -63,12 +63,12 @@
 
 @attrs.frozen
 class Traits:
-    """How a code is reported.
+    """HTTP status and error type that a code is reported with.
 
     Parameters
     ----------
     status : http.HTTPStatus
-        Status of the HTTP answer.
+        Status of the HTTP response.
     kind : str
         The ``type`` field of an OpenAI-compatible error.
     """
--- a/toucanrudder/errors/exceptions.py
+++ b/toucanrudder/errors/exceptions.py
@@ -1,4 +1,4 @@
-"""The one exception type of the router, and its form on the wire."""
+"""Base exception of the router and its JSON form on the wire."""
 
 import attrs
 
@@ -7,24 +7,24 @@
 
 @attrs.define(eq=False)
 class RudderError(Exception):
-    """A failure with a code, the step and the peer at which it arose.
+    """Error with a code, and the step and peer at which it arose.
 
     Parameters
     ----------
     code : codes.Code
-        What went wrong.
+        Error code.
     message : str
-        One sentence for a person; never holds a prompt or a secret.
+        One human-readable sentence; never holds a prompt or a secret.
     step : str
-        The step of the request's path or of a controller, for example
+        Processing step of the request or the controller, for example
         ``"claim"`` or ``"dispatch"``.
     peer : str
         Name of the other party (an upstream, a router, the store), or
         the empty string.
     ran : codes.Ran
-        Whether the request can have been executed.
+        Whether the request may have been executed.
     retry_after_s : float or None
-        When it is worth coming back, in seconds; None if it never is.
+        Delay before a retry is worthwhile, in seconds; None if it never is.
 
     Examples
     --------
@@ -51,21 +51,21 @@
 
     @property
     def status(self) -> int:
-        """HTTP status of the answer."""
+        """HTTP status of the response."""
         return int(codes.TRAITS[self.code].status)
 
     def as_body(self, request_id: str = "") -> dict:
-        """Return the JSON body in the shape of the OpenAI error object.
+        """Return the JSON body in the form of an OpenAI error object.
 
         Parameters
         ----------
         request_id : str
-            Identity of the request the error answers.
+            ID of the request that failed.
 
         Returns
         -------
         dict
-            ``{"error": {...}}`` with our fields beside the usual ones.
+            ``{"error": {...}}`` with the router's fields beside OpenAI's.
         """
         return {
             "error": {
--- a/toucanrudder/errors/tests/test_not_run.py
+++ b/toucanrudder/errors/tests/test_not_run.py
@@ -1,4 +1,4 @@
-"""Promise 5: a refusal that says "not run" is true."""
+"""Promise 5: a request refused as "not run" was not run by any upstream."""
 
 import asyncio
 import hashlib
@@ -16,10 +16,10 @@
 ROUTES = [{"method": "POST", "path_prefix": "/bookings", "repeatable": False}]
 AUTHORIZED = fleets.authorization()
 KEYED = AUTHORIZED | {"Idempotency-Key": "k"}
-SLOW = fleets.authorization("birch")
+LIMITED = fleets.authorization("birch")
 
-#: Codes of refused requests, and the tests that show what those say.
-ELSEWHERE = {
+#: Codes of refused requests that other test modules cover.
+TESTED_ELSEWHERE = {
     "idempotency_key_reused": "test_service_runs",
     "already_started": "test_service_runs",
     "outcome_unknown": "test_keeper",
@@ -31,8 +31,8 @@
     "quarantined": "test_poison_fleet",
 }
 
-#: Codes of operators' calls and of the routers' own affairs; no request
-#: of a caller is refused with them.
+#: Codes of operators' calls and of the routers' internal operations; no
+#: caller's request is refused with them.
 NOT_FOR_CALLERS = {
     "config_invalid",
     "config_conflict",
@@ -41,9 +41,9 @@
     "order_fenced",
     "peer_refused",
     "not_found",
-    # Routers that stop serve what still comes.
+    # Routers that are stopping still serve incoming requests.
     "stopping",
-    # Unforeseen; the guard says that the outcome is unknown.
+    # Unexpected error; the guard reports that the outcome is unknown.
     "internal",
 }
 
@@ -91,7 +91,7 @@
     assert (error["code"], error["ran"]) == (code, "not_run"), error
 
 
-async def test_requests_that_are_wrong_run_nowhere():
+async def test_invalid_requests_run_nowhere():
     async with fleets.running(plan()) as fleet:
         for path, body, headers, code in INPUT:
             await check(fleet, path, body, headers, code)
@@ -102,12 +102,15 @@
         assert await fleet.runs() == []
 
 
-async def test_requests_that_find_no_place_run_nowhere():
-    """All slots are busy and the queue is full; deadlines cannot be met;
-    upstreams are leaving, or gone; the store is down.
+async def test_unplaceable_requests_run_nowhere():
+    """Requests that cannot be placed are refused as not run.
+
+    The store is down, the service has failed, the queue is full, or the
+    deadline cannot be met.
     """
     async with fleets.running(plan(max_tries=1)) as fleet:
-        # Down first: later the service is gone, which is told earlier.
+        # Test the store first: once the service has failed, the check for an
+        # upstream refuses the request before its claim is written.
         await fleet.put_faults("platform", mode="down", kind="claims")
         await check(fleet, BOOKINGS, b"", KEYED, "store_unavailable")
         await fleet.put_faults("platform", mode="ok")
@@ -115,28 +118,31 @@
         await check(fleet, BOOKINGS, b"", KEYED, "no_upstream")
         assert (await fleet.journal("service-0"))["runs"] == []
         await fleet.put_faults("engine-0", stall=True)
-        tries = [
+        requests = [
             asyncio.ensure_future(
                 refusal(fleet, COMPLETIONS, GOOD, AUTHORIZED)
             )
             for _ in range(18)
         ]
-        code = {}
+        first_error = {}
 
         async def refused():
-            done = [each for each in tries if each.done()]
-            code.update(done[0].result() if done else {})
+            done = [request for request in requests if request.done()]
+            first_error.update(done[0].result() if done else {})
             return bool(done)
 
         await control.until(refused)
-        assert (code["code"], code["ran"]) == ("queue_full", "not_run")
-        hurry = GOOD | {"prompt": "hurry"}
-        soon = AUTHORIZED | {"X-Deadline-S": "0.001"}
-        await check(fleet, COMPLETIONS, hurry, soon, "deadline_unmet")
-        assert await runs_of(fleet, hurry) == 0
-        for each in tries:
-            each.cancel()
-        await asyncio.gather(*tries, return_exceptions=True)
+        assert (first_error["code"], first_error["ran"]) == (
+            "queue_full",
+            "not_run",
+        )
+        late = GOOD | {"prompt": "hurry"}
+        short_deadline = AUTHORIZED | {"X-Deadline-S": "0.001"}
+        await check(fleet, COMPLETIONS, late, short_deadline, "deadline_unmet")
+        assert await runs_of(fleet, late) == 0
+        for request in requests:
+            request.cancel()
+        await asyncio.gather(*requests, return_exceptions=True)
 
 
 async def test_requests_above_the_limit_run_nowhere():
@@ -153,13 +159,13 @@
     limited = plan()
     limited.document["organisations"] = organisations
     async with fleets.running(limited) as fleet:
-        await check(fleet, "/services/no/x", b"", SLOW, "unknown_service")
-        await check(fleet, COMPLETIONS, GOOD, SLOW, "limit_exceeded")
+        await check(fleet, "/services/no/x", b"", LIMITED, "unknown_service")
+        await check(fleet, COMPLETIONS, GOOD, LIMITED, "limit_exceeded")
         assert await fleet.runs() == []
 
 
-#: Nothing listens at its address.
-GONE = {
+#: Engine at whose address nothing listens.
+UNREACHABLE_ENGINE = {
     "name": "engine-0",
     "kind": "engine",
     "address": "127.0.0.1:1",
@@ -169,7 +175,7 @@
 }
 
 ENGINES = [
-    # faults of the only engine, code, what is said, runs seen
+    # faults of the only engine, code, reported execution, number of runs
     ({"refuse": True}, "no_upstream", "not_run", 0),
     ("gone", "upstream_not_reached", "not_run", 0),
     ({"fail_every": 1}, "upstream_failed", "outcome_unknown", None),
@@ -178,33 +184,33 @@
 
 
 @pytest.mark.parametrize(("faults", "code", "ran", "count"), ENGINES)
-async def test_what_is_said_when_an_engine_fails(faults, code, ran, count):
-    """The only engine refuses, is gone, fails, or falls silent.
+async def test_error_when_the_only_engine_fails(faults, code, ran, count):
+    """The only engine refuses, is unreachable, fails, or stalls.
 
-    The first two prove that nothing ran.  After the others nobody can
-    know, and the answer says so.
+    The first two prove that nothing ran.  After the others this is
+    unknown, and the error must say so.
     """
     failing = plan(max_tries=1)
     if faults == "gone":
-        failing.document["upstreams"] = [GONE]
+        failing.document["upstreams"] = [UNREACHABLE_ENGINE]
     async with fleets.running(failing) as fleet:
         if faults != "gone":
             await fleet.put_faults("engine-0", **faults)
-        hurried = AUTHORIZED | {"X-Deadline-S": "2"}
-        error = await refusal(fleet, COMPLETIONS, GOOD, hurried)
+        with_deadline = AUTHORIZED | {"X-Deadline-S": "2"}
+        error = await refusal(fleet, COMPLETIONS, GOOD, with_deadline)
         if faults == "gone" and error["code"] == "no_upstream":
-            # The load poll noticed first.
+            # The load poll found the engine unreachable first.
             code = "no_upstream"
         assert (error["code"], error["ran"]) == (code, ran), error
         if count is not None:
             assert len(await fleet.runs()) == count
 
 
-async def test_not_run_is_not_said_after_a_try_that_may_have_run():
-    """The only engine dies of a request, and then none is left to try.
+async def test_not_run_is_not_reported_after_an_attempt_that_may_have_run():
+    """The request crashes the only engine, and none is left to retry on.
 
-    Whatever refuses the request in the end, the first try makes "not run"
-    untrue.
+    Whatever the final refusal, "not run" would be false, because the first
+    attempt may have run.
     """
     async with fleets.running(plan(max_tries=3)) as fleet:
         await fleet.put_faults("engine-0", crash_marker=GOOD["prompt"])
@@ -212,8 +218,8 @@
         assert error["ran"] == "outcome_unknown", error
 
 
-class Nowhere(model_call.ModelCall):
-    """A call for which no engine is found."""
+class UnplaceableCall(model_call.ModelCall):
+    """Model call for which there is no engine."""
 
     async def _place(self):
         raise errors.RudderError(
@@ -222,11 +228,13 @@
 
 
 @pytest.mark.parametrize(
-    ("before", "ran"),
+    ("may_have_run", "ran"),
     [(False, errors.Ran.NOT_RUN), (True, errors.Ran.UNKNOWN)],
 )
-async def test_no_place_after_a_try(before, ran):
-    call = Nowhere(exchange=None, sink=None, order=None, may_have_run=before)
+async def test_refusal_without_an_engine_after_an_attempt(may_have_run, ran):
+    call = UnplaceableCall(
+        exchange=None, sink=None, order=None, may_have_run=may_have_run
+    )
     with pytest.raises(errors.RudderError) as caught:
         await call._placed()
     assert caught.value.ran is ran
@@ -236,7 +244,7 @@
     unready = plan()
     async with fleets.running(unready) as fleet:
         await fleet.put_faults("platform", mode="down")
-        router = await alone(fleet)
+        router = await start_isolated_router(fleet)
         async with fleet.session.post(
             f"{router.url}{COMPLETIONS}", json=GOOD, headers=AUTHORIZED
         ) as response:
@@ -245,8 +253,8 @@
         assert await fleet.runs() == []
 
 
-async def alone(fleet):
-    """Start a router that knows no others, and do not wait for it."""
+async def start_isolated_router(fleet):
+    """Start a router without peers and do not wait until it is ready."""
     fleet.routers.clear()
     until_ready = fleets.Fleet._until_ready
     fleets.Fleet._until_ready = lambda self, router: asyncio.sleep(0)
@@ -256,13 +264,13 @@
         fleets.Fleet._until_ready = until_ready
 
 
-def test_every_code_of_a_refused_request_is_shown():
-    shown = {code for *_, code in INPUT} | {code for _, code, *_ in ENGINES}
-    shown |= {"unknown_stream", "store_unavailable", "queue_full"}
-    shown |= {"deadline_unmet", "limit_exceeded", "not_configured"}
-    # Its decision's table has both what it may say.
-    shown |= {"retry_budget_spent"}
-    # Shown where a registry's engines lag behind new weights.
-    shown |= {"weights_too_old"}
-    known = shown | set(ELSEWHERE) | NOT_FOR_CALLERS
+def test_every_code_of_a_refused_request_is_tested():
+    tested = {code for *_, code in INPUT} | {code for _, code, *_ in ENGINES}
+    tested |= {"unknown_stream", "store_unavailable", "queue_full"}
+    tested |= {"deadline_unmet", "limit_exceeded", "not_configured"}
+    # The decision table of retries covers both of its outcomes.
+    tested |= {"retry_budget_spent"}
+    # Tested with engines that lag behind new weights.
+    tested |= {"weights_too_old"}
+    known = tested | set(TESTED_ELSEWHERE) | NOT_FOR_CALLERS
     assert {code.value for code in errors.Code} == known
