--- a/toucanrudder/document/__init__.py
+++ b/toucanrudder/document/__init__.py
@@ -1,4 +1,4 @@
-"""The configuration document: its types, schema, checks and differences."""
+"""Configuration document: types, schema, validation and differences."""
 
 from toucanrudder.document.model import Document
 
--- a/toucanrudder/document/acceptance.py
+++ b/toucanrudder/document/acceptance.py
@@ -1,4 +1,4 @@
-"""Decides which accepted document is in force."""
+"""Choice of the accepted document that is in force."""
 
 import enum
 
@@ -9,7 +9,7 @@
 
 
 class Source(enum.Enum):
-    """Where a candidate came from."""
+    """Origin of a candidate document."""
 
     STORE = "store"
     PEER = "peer"
@@ -17,7 +17,7 @@
 
 
 class Settled(enum.Enum):
-    """What became of a write whose answer was lost."""
+    """Outcome of a write whose answer was lost."""
 
     DONE = "done"
     LOST_RACE = "lost_race"
@@ -27,7 +27,7 @@
 
 @attrs.define(eq=False)
 class ConfigurationConflict(errors.RudderError):
-    """Another document was accepted first; says which and whose."""
+    """Error for a write that lost to another one; names the winner."""
 
     generation: int = attrs.field(default=0, kw_only=True)
     author: str = attrs.field(default="", kw_only=True)
@@ -41,7 +41,7 @@
 
 
 def generation_of(accepted: model.Accepted | None) -> int:
-    """Return the generation, 0 when there is no document."""
+    """Return the generation, or 0 when there is no document."""
     return accepted.generation if accepted else 0
 
 
@@ -50,20 +50,21 @@
     current: model.Accepted | None,
     source: Source,
 ) -> bool:
-    """Say whether the candidate takes the place of the current document.
+    """Return whether the candidate replaces the current document.
 
-    A lower generation never does.  Two documents of one generation exist
-    only if the store came back older and was written meanwhile by routers
-    that knew no better; then the store's wins, so that all agree.
+    A lower generation never does.  Two documents of the same generation
+    exist only if the store was restored from an older copy and then written
+    by routers that did not know of the later generation.  The store's
+    document then wins, so that all routers agree.
 
     Parameters
     ----------
     candidate : model.Accepted
-        What was read, told or written.
+        Document read from the store, received from a peer, or applied.
     current : model.Accepted or None
-        What is in force on this router.
+        Document in force on this router.
     source : Source
-        Where the candidate came from.
+        Origin of the candidate.
 
     Examples
     --------
@@ -94,7 +95,7 @@
     written : model.Accepted
         The document whose write got no answer.
     stored : model.Accepted or None
-        What the store holds now.
+        Document that the store holds now.
     apply_ids : dict of int to str
         The ``apply_id`` of each generation known to this router.
 
@@ -110,7 +111,7 @@
         return Settled.NOT_YET
     if stored.generation == written.generation:
         return Settled.LOST_RACE
-    holder = apply_ids.get(written.generation)
-    if holder is None:
+    winner_id = apply_ids.get(written.generation)
+    if winner_id is None:
         return Settled.UNKNOWN
-    return Settled.DONE if holder == written.apply_id else Settled.LOST_RACE
+    return Settled.DONE if winner_id == written.apply_id else Settled.LOST_RACE
--- a/toucanrudder/document/difference.py
+++ b/toucanrudder/document/difference.py
@@ -1,4 +1,4 @@
-"""What changes between two documents, entry by entry."""
+"""Differences between two documents, entry by entry."""
 
 import functools
 
@@ -9,14 +9,15 @@
 
 @attrs.frozen
 class Change:
-    """One difference.
+    """One difference between two documents.
 
     Parameters
     ----------
     path : str
-        Where, with entries of lists by name: ``upstreams[e1].drained``.
+        Path of the value; list entries go by name, as in
+        ``upstreams[e1].drained``.
     before, after : object
-        Values; None where the entry does not exist.
+        Old and new value; None where the entry does not exist.
     """
 
     path: str
@@ -79,7 +80,7 @@
     Returns
     -------
     tuple of Change
-        In the order of the document's fields, then by name.
+        Differences in the order of the document's fields, then by name.
 
     Examples
     --------
--- a/toucanrudder/document/model.py
+++ b/toucanrudder/document/model.py
@@ -2,7 +2,7 @@
 
 The document is one JSON object.  Its organisations, models, upstreams and
 services refer to each other by name; :mod:`toucanrudder.document.validation`
-checks those references before a document is taken.
+checks those references before a document is accepted.
 """
 
 import attrs
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class Organisation:
-    """A tenant with its keys and its share.
+    """A tenant with its API keys, limits and share of capacity.
 
     Parameters
     ----------
@@ -24,15 +24,15 @@
     weight : float
         Share of contended capacity relative to other organisations.
     requests_per_s : float
-        Rate limit over all routers together, requests a second.
+        Rate limit over all routers together, in requests per second.
     burst_requests : float
         Requests that may arrive at once above the rate, over all routers.
     default_priority : str
-        Class of requests that name none.
+        Priority of requests that specify none.
     max_priority : str
-        Most urgent class that the organisation may ask for.
+        Highest priority that the organisation may request.
     models : tuple of str
-        Models it may use; empty means all.
+        Models that it may use; empty means all.
     """
 
     name: str
@@ -57,7 +57,7 @@
 
 @attrs.frozen
 class Upstream:
-    """One instance that requests are sent to.
+    """An instance that requests are sent to.
 
     Parameters
     ----------
@@ -70,13 +70,13 @@
     zone : str
         Availability zone.
     pool : str
-        Name of the group it belongs to; for services, the service's name.
+        Group that it belongs to; for services, the service's name.
     models : tuple of str
         Models that an engine can serve.
     checks_fencing : bool
         Whether it refuses orders with an old fencing number.
     slots : int
-        Requests it runs at once.
+        Requests that it runs concurrently.
     drained : bool
         Whether operators have taken it out of use.
     """
@@ -94,7 +94,7 @@
 
 @attrs.frozen
 class Route:
-    """Whether calls of a service under a path may be repeated."""
+    """A rule on whether calls below a path of a service may be repeated."""
 
     method: str
     path_prefix: str
@@ -103,7 +103,7 @@
 
 @attrs.frozen
 class Service:
-    """A plain HTTP service; the first matching route decides."""
+    """A plain HTTP service; the first matching route applies."""
 
     name: str
     routes: tuple[Route, ...] = ()
@@ -113,7 +113,7 @@
 
 @attrs.frozen
 class Policy:
-    """The trade-offs that operators set.
+    """Trade-offs and limits that operators set.
 
     Parameters
     ----------
@@ -123,21 +123,21 @@
         Cost of a second of prefix recomputation.  Above `wait_weight` it
         favours hit rate, below it favours time to first token.
     zone_hop_s : float
-        One-way time between availability zones, seconds.
+        One-way latency between availability zones, in seconds.
     weight_loads_at_once : int
-        Workers that may load weights at the same time.
+        Engines that may load weights at the same time.
     kv_store : str
-        Name of the store of kept KV cache, or empty.
+        Name of the KV cache store, or empty.
     retry_ratio : float
-        Retries allowed per request over time.
+        Retries allowed per request, averaged over time.
     max_tries : int
-        Upstreams tried for one request.
+        Largest number of upstreams tried for one request.
     first_token_deadline_s : float
-        Deadline for the first token when the caller names none.
+        Deadline for the first token when the caller specifies none.
     claim_retention_s : float
-        Time for which a claim is kept.
+        Time for which a claim is retained.
     max_body_bytes : int
-        Largest request body for models.
+        Largest request body of model calls.
     """
 
     wait_weight: float = 1.0
@@ -165,18 +165,18 @@
 
 @attrs.frozen
 class Accepted:
-    """A document together with the generation under which it was taken.
+    """A document with the generation under which it was accepted.
 
     Parameters
     ----------
     generation : int
         Rises by one with each accepted document; never falls.
     apply_id : str
-        Identity of the operator's write, to settle lost answers.
+        ID of the operator's write; resolves writes whose answer was lost.
     author : str
-        Who applied it.
+        Operator who applied it.
     document : Document
-        The content.
+        The accepted document.
     """
 
     generation: int
--- a/toucanrudder/document/schema.py
+++ b/toucanrudder/document/schema.py
@@ -1,4 +1,4 @@
-"""The JSON Schema of the configuration document."""
+"""JSON Schema of the configuration document."""
 
 import importlib.resources
 import json
--- a/toucanrudder/document/serialisation.py
+++ b/toucanrudder/document/serialisation.py
@@ -1,4 +1,4 @@
-"""The document as JSON values, and back."""
+"""Conversion of documents to and from JSON."""
 
 import json
 
@@ -19,7 +19,7 @@
 
 
 def to_json(document: model.Document) -> dict:
-    """Return the document as JSON values, every default spelt out.
+    """Return the document as JSON values, with all defaults included.
 
     Examples
     --------
@@ -31,12 +31,12 @@
 
 
 def from_json(data: dict) -> model.Document:
-    """Return the document from JSON values that were checked before."""
+    """Return the document from validated JSON values."""
     return _converter.structure(data, model.Document)
 
 
 def entry_from_json(kind: str, data: dict) -> object:
-    """Return one entry of the document's list `kind`."""
+    """Return an entry of the document's list `kind` from JSON values."""
     return _converter.structure(data, _ENTRIES[kind])
 
 
@@ -46,23 +46,23 @@
 
 
 def accepted_from_json(data: dict) -> model.Accepted:
-    """Return what a store or a peer holds as the accepted document.
+    """Return the accepted document from JSON of the store or a peer.
 
     Raises
     ------
     Exception
-        Of several types, when `data` has another form.
+        Of several types, if `data` is malformed.
     """
     return _converter.structure(data, model.Accepted)
 
 
 def encode(accepted: model.Accepted) -> bytes:
-    """Return the accepted document as bytes, for peers."""
+    """Return the accepted document as compact JSON for peers."""
     return json.dumps(
         accepted_to_json(accepted), separators=(",", ":")
     ).encode()
 
 
 def decode(data: bytes) -> model.Accepted:
-    """Return the accepted document from `encode`'s bytes."""
+    """Return the accepted document from the bytes of `encode`."""
     return accepted_from_json(json.loads(data))
--- a/toucanrudder/document/tests/test_documents.py
+++ b/toucanrudder/document/tests/test_documents.py
@@ -23,7 +23,7 @@
     ("name", "engines", "services", "zones", "loads"),
     [("celbouw", 5, 3, 3, 2), ("swarlipi", 9, 3, 3, 3), ("demo", 3, 2, 3, 1)],
 )
-def test_examples_have_the_deployments_sizes(
+def test_examples_match_the_sizes_of_the_deployments(
     name, engines, services, zones, loads
 ):
     document = validation.parse(example(name))
@@ -36,7 +36,7 @@
     assert validation.parse(serialisation.to_json(document)) == document
 
 
-def test_an_accepted_document_survives_the_wire():
+def test_an_accepted_document_round_trips_through_bytes():
     accepted = model.Accepted(
         7, "a1", "ann", validation.parse(example("celbouw"))
     )
@@ -52,7 +52,7 @@
     return data
 
 
-BAD = [
+INVALID = [
     (("upstreams", 0, "address"), "engine-1:80", "$.upstreams[0].address"),
     (("upstreams", 0, "address"), "1.2.3.4:0", "$.upstreams[0].address"),
     (
@@ -96,16 +96,16 @@
 ]
 
 
-@pytest.mark.parametrize(("path", "value", "named"), BAD)
-def test_a_mistake_is_named_by_its_path(path, value, named):
+@pytest.mark.parametrize(("path", "value", "problem_path"), INVALID)
+def test_a_problem_is_reported_with_its_path(path, value, problem_path):
     with pytest.raises(validation.DocumentInvalid) as caught:
         validation.parse(_edited(path, value))
     assert caught.value.code is errors.Code.CONFIG_INVALID
     paths = [problem.path for problem in caught.value.problems]
-    assert any(found.endswith(named) for found in paths), paths
+    assert any(reported.endswith(problem_path) for reported in paths), paths
 
 
-def test_all_mistakes_are_named_at_once():
+def test_all_problems_are_reported_at_once():
     data = _edited(("upstreams", 0, "slots"), 0)
     data["models"][0]["name"] = ""
     data["organisations"][2]["weight"] = "x"
@@ -116,13 +116,13 @@
         "$.models[0].name",
         "$.organisations[2].weight",
         "$.upstreams[0].slots",
-        # No model has the name that these give any more.
+        # These refer to the model whose name was removed.
         "$.upstreams[1].models[0]",
         "$.upstreams[2].models[0]",
     ]
 
 
-def test_references_are_checked_beside_mistakes_of_form():
+def test_references_are_checked_beside_schema_problems():
     data = _edited(("upstreams", 0, "slots"), 0)
     data["upstreams"][1]["models"] = ["gpt"]
     data["upstreams"][2]["name"] = "engine-1"
@@ -143,7 +143,7 @@
     ]
 
 
-def test_a_document_that_the_store_cannot_hold_is_refused():
+def test_a_document_too_large_for_the_store_is_refused():
     data = example("demo")
     data["organisations"] = [{"name": f"o{i}"} for i in range(6000)]
     with pytest.raises(validation.DocumentInvalid, match="bytes long"):
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("data", [None, [], {}, "x", {"organisations": 3}])
-def test_other_json_is_refused(data):
+def test_json_of_another_form_is_refused(data):
     with pytest.raises(validation.DocumentInvalid):
         validation.parse(data)
 
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.parametrize("name", TYPES)
-def test_the_schema_describes_each_field_for_a_form(name):
+def test_the_schema_describes_each_field(name):
     entry = schema.SCHEMA["$defs"][name]
     fields = attrs.fields_dict(TYPES[name])
     assert set(entry["properties"]) == set(fields)
@@ -183,7 +183,7 @@
             assert "x-unit" in options
 
 
-def test_a_difference_names_entries():
+def test_differences_name_entries():
     old = validation.parse(example("demo"))
     data = _edited(("upstreams", 0, "drained"), True)
     del data["organisations"][7]
--- a/toucanrudder/document/validation.py
+++ b/toucanrudder/document/validation.py
@@ -1,4 +1,4 @@
-"""Checks a document wholly before it is taken."""
+"""Validation of a whole document before it is accepted."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -22,14 +22,14 @@
 
 @attrs.frozen
 class Problem:
-    """Something wrong with a document.
+    """One problem of a document.
 
     Parameters
     ----------
     path : str
         JSON path, for example ``$.upstreams[3].address``.
     message : str
-        What is wrong there.
+        Description of the problem.
     """
 
     path: str
@@ -38,7 +38,7 @@
 
 @attrs.define(eq=False)
 class DocumentInvalid(errors.RudderError):
-    """The document is refused whole; `problems` holds everything wrong."""
+    """Error for an invalid document; `problems` lists all that is wrong."""
 
     problems: tuple[Problem, ...] = attrs.field(default=(), kw_only=True)
 
@@ -52,7 +52,7 @@
 
 
 def parse(data: object) -> model.Document:
-    """Check JSON values and return the document that they describe.
+    """Validate JSON values and return the document that they describe.
 
     Parameters
     ----------
@@ -62,12 +62,12 @@
     Returns
     -------
     model.Document
-        The document; all its references hold.
+        Document whose references are all valid.
 
     Raises
     ------
     DocumentInvalid
-        ``config_invalid``, listing everything that is wrong at once.
+        ``config_invalid``, with up to `MAX_PROBLEMS` of its problems.
 
     Examples
     --------
@@ -81,7 +81,7 @@
     failures = list(_validator.iter_errors(data))
     problems = list(_schema_problems(data, failures))
     if problems:
-        document = _salvaged(data, failures)
+        document = _partial_document(data, failures)
     else:
         document = serialisation.from_json(data)
     problems += _document_problems(document)
@@ -105,29 +105,29 @@
     try:
         json.dumps(data, allow_nan=False)
     except ValueError:
-        # Python reads NaN, which is below no bound and above none.
+        # json.loads accepts NaN, which passes every bound of the schema.
         yield Problem("$", "holds a number that is not finite")
 
 
-def _salvaged(
+def _partial_document(
     data: object, failures: list[jsonschema.ValidationError]
 ) -> model.Document:
-    """Return what can be read, so that its references are checked too.
+    """Return the valid entries, so that their references are checked too.
 
-    An entry with a mistake in it is replaced by one of the same name that
-    breaks no rule; so places stay as they are, and references to it hold.
+    An invalid entry is replaced by a valid placeholder of the same name, so
+    that indices do not shift and references to it stay valid.
     """
     bad = {tuple(error.absolute_path)[:2] for error in failures}
-    lists = {kind: _salvaged_list(kind, data, bad) for kind in _REPLACEMENTS}
-    return model.Document(**lists)
+    entries = {kind: _partial_list(kind, data, bad) for kind in _PLACEHOLDERS}
+    return model.Document(**entries)
 
 
-def _salvaged_list(kind: str, data: object, bad: set[tuple]) -> tuple:
+def _partial_list(kind: str, data: object, bad: set[tuple]) -> tuple:
     entries = data.get(kind, ()) if isinstance(data, dict) else ()
     if not isinstance(entries, list):
         return ()
     return tuple(
-        _REPLACEMENTS[kind](_name_of(entry, index), index)
+        _PLACEHOLDERS[kind](_name_of(entry, index), index)
         if (kind, index) in bad
         else serialisation.entry_from_json(kind, entry)
         for index, entry in enumerate(entries)
@@ -139,16 +139,16 @@
     return name if isinstance(name, str) else f"\0{index}"
 
 
-def _replaced_upstream(name: str, index: int) -> model.Upstream:
-    # An address that no one has: the discard prefix of IPv6.
+def _placeholder_upstream(name: str, index: int) -> model.Upstream:
+    # Unique and never in use: in the IPv6 discard prefix 100::/64.
     address = f"[100::{index:x}]:1"
     return model.Upstream(name, "", address, "", "")
 
 
-_REPLACEMENTS = {
+_PLACEHOLDERS = {
     "organisations": lambda name, index: model.Organisation(name),
     "models": lambda name, index: model.Model(name, ""),
-    "upstreams": _replaced_upstream,
+    "upstreams": _placeholder_upstream,
     "services": lambda name, index: model.Service(name),
 }
 
@@ -161,7 +161,7 @@
     yield from _size_problems(document)
     for kind in ("organisations", "models", "upstreams", "services"):
         names = [entry.name for entry in getattr(document, kind)]
-        yield from _repeated(f"$.{kind}", "name", names)
+        yield from _duplicates(f"$.{kind}", "name", names)
     yield from _organisation_problems(document)
     yield from _upstream_problems(document)
     yield from _route_problems(document)
@@ -177,20 +177,20 @@
         )
 
 
-def _repeated(
+def _duplicates(
     path: str, field: str, values: Iterable[object]
 ) -> Iterator[Problem]:
-    first: dict[object, int] = {}
+    first_index: dict[object, int] = {}
     for index, value in enumerate(values):
-        if value in first:
+        if value in first_index:
             yield Problem(
                 f"{path}[{index}].{field}",
-                f"{value!r} is already at {path}[{first[value]}]",
+                f"{value!r} is already at {path}[{first_index[value]}]",
             )
-        first.setdefault(value, index)
+        first_index.setdefault(value, index)
 
 
-def _unknown(
+def _unknown_names(
     path: str, kind: str, names: Iterable[str], known: set[str]
 ) -> Iterator[Problem]:
     for index, name in enumerate(names):
@@ -200,22 +200,22 @@
 
 def _organisation_problems(document: model.Document) -> Iterator[Problem]:
     models = {entry.name for entry in document.models}
-    holders: dict[str, str] = {}
+    owners: dict[str, str] = {}
     for index, organisation in enumerate(document.organisations):
         path = f"$.organisations[{index}]"
-        yield from _unknown(
+        yield from _unknown_names(
             f"{path}.models", "model", organisation.models, models
         )
         default = request.Priority[organisation.default_priority.upper()]
         if default < request.Priority[organisation.max_priority.upper()]:
             yield Problem(f"{path}.default_priority", "is above max_priority")
-        for place, digest in enumerate(organisation.api_key_sha256s):
-            if digest in holders:
+        for digest_index, digest in enumerate(organisation.api_key_sha256s):
+            if digest in owners:
                 yield Problem(
-                    f"{path}.api_key_sha256s[{place}]",
-                    f"key belongs to {holders[digest]!r} already",
+                    f"{path}.api_key_sha256s[{digest_index}]",
+                    f"key belongs to {owners[digest]!r} already",
                 )
-            holders.setdefault(digest, organisation.name)
+            owners.setdefault(digest, organisation.name)
 
 
 def _upstream_problems(document: model.Document) -> Iterator[Problem]:
@@ -223,7 +223,9 @@
     services = {entry.name for entry in document.services}
     for index, upstream in enumerate(document.upstreams):
         path = f"$.upstreams[{index}]"
-        yield from _unknown(f"{path}.models", "model", upstream.models, models)
+        yield from _unknown_names(
+            f"{path}.models", "model", upstream.models, models
+        )
         if addresses.ip_of(upstream.address) is None:
             yield Problem(f"{path}.address", "is not IP:port")
         if upstream.kind == model.ENGINE and not upstream.models:
@@ -234,7 +236,7 @@
             yield Problem(
                 f"{path}.pool", f"no service named {upstream.pool!r}"
             )
-    yield from _repeated(
+    yield from _duplicates(
         "$.upstreams",
         "address",
         [upstream.address for upstream in document.upstreams],
@@ -243,7 +245,7 @@
 
 def _route_problems(document: model.Document) -> Iterator[Problem]:
     for index, service in enumerate(document.services):
-        yield from _repeated(
+        yield from _duplicates(
             f"$.services[{index}].routes",
             "path_prefix",
             [(route.method, route.path_prefix) for route in service.routes],
--- a/toucanrudder/errors/tests/test_not_run.py
+++ b/toucanrudder/errors/tests/test_not_run.py
@@ -109,8 +109,8 @@
     deadline cannot be met.
     """
     async with fleets.running(plan(max_tries=1)) as fleet:
-        # Test the store first: once the service has failed, the check for an
-        # upstream refuses the request before its claim is written.
+        # The store is tested first: once the service has failed, requests are
+        # refused for that reason instead.
         await fleet.put_faults("platform", mode="down", kind="claims")
         await check(fleet, BOOKINGS, b"", KEYED, "store_unavailable")
         await fleet.put_faults("platform", mode="ok")
