--- a/toucanrudder/settings/__init__.py
+++ b/toucanrudder/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of the daemons, read from INI files."""
+"""Settings of the router daemons, read from INI files."""
 
 from toucanrudder.settings.loading import load
 from toucanrudder.settings.options import GROUPS
--- a/toucanrudder/settings/forwarding.py
+++ b/toucanrudder/settings/forwarding.py
@@ -16,7 +16,9 @@
         "callers", required=True, help="IP:port for callers' requests."
     ),
     cfg.StrOpt(
-        "ready", required=True, help="IP:port for the balancer's checks."
+        "ready",
+        required=True,
+        help="IP:port for the load balancer's readiness checks.",
     ),
     cfg.StrOpt("metrics", default="", help="IP:port for metrics, or empty."),
     cfg.StrOpt("peers", required=True, help="IP:port for other routers."),
@@ -37,13 +39,13 @@
         default=0.2,
         min=0,
         max=1,
-        help="Repeats for each request to a service, over all routers.",
+        help="Retries allowed per request to a service, over all routers.",
     ),
     cfg.FloatOpt(
         "slack",
         default=50,
         min=0,
-        help="Repeats allowed beside in one window, over all routers.",
+        help="Additional retries allowed in one window, over all routers.",
     ),
     cfg.FloatOpt(
         "window_s",
@@ -60,16 +62,16 @@
         default=8000,
         min=1000,
         max=3_600_000,
-        help="Milliseconds after new weights were named from which no "
-        "request may begin on older ones.",
+        help="Milliseconds after new weights are announced; from then on no "
+        "request may start on older ones.",
     ),
     cfg.IntOpt(
         "lease_ms",
         default=3000,
         min=500,
         max=600_000,
-        help="Milliseconds within which another router gives the orders to "
-        "load weights when the one that gave them has fallen silent.",
+        help="Milliseconds within which another router takes over ordering "
+        "engines to load weights when the previous one is unresponsive.",
     ),
 )
 
@@ -79,14 +81,14 @@
         default=10,
         min=1,
         max=600,
-        help="Length in seconds of the window in which usage counts "
-        "against an organisation's cap.",
+        help="Length in seconds of the window in which usage counts against "
+        "an organisation's cap.",
     ),
     cfg.FloatOpt(
         "slack",
         default=0,
         min=0,
-        help="Units that may pass beyond an organisation's cap in one "
+        help="Units that may be admitted beyond an organisation's cap in one "
         "window, over all routers.",
     ),
     cfg.FloatOpt(
@@ -94,7 +96,7 @@
         default=0,
         min=0,
         max=1,
-        help="Part of an organisation's cap that may pass beside.",
+        help="Share of an organisation's cap that may be admitted beyond it.",
     ),
 )
 
@@ -104,15 +106,15 @@
         default=8.0,
         min=0.5,
         max=3600,
-        help="Seconds between the signal to stop and the end by force.",
+        help="Seconds between the stop signal and the forced end.",
     ),
     cfg.FloatOpt(
         "notice_s",
         default=2.5,
         min=0,
         max=60,
-        help="Seconds until the balancer has noticed that a router is not "
-        "ready and sends it no more connections.",
+        help="Seconds until the load balancer has noticed that a router is "
+        "not ready and sends it no more connections.",
     ),
 )
 
--- a/toucanrudder/settings/loading.py
+++ b/toucanrudder/settings/loading.py
@@ -1,4 +1,4 @@
-"""Reads and checks a settings file."""
+"""Loading and validation of a settings file."""
 
 from collections.abc import Mapping
 import configparser
@@ -12,7 +12,7 @@
 STEP = "settings"
 
 
-def _invalid(message: str, path: str) -> errors.RudderError:
+def _settings_error(message: str, path: str) -> errors.RudderError:
     return errors.RudderError(
         errors.Code.SETTINGS_INVALID, f"{path}: {message}", step=STEP
     )
@@ -23,7 +23,7 @@
     try:
         parser.read_string(pathlib.Path(path).read_text(encoding="utf-8"))
     except (OSError, UnicodeError, configparser.Error) as error:
-        raise _invalid(str(error).replace("\n", " "), path) from error
+        raise _settings_error(str(error).replace("\n", " "), path) from error
     return parser
 
 
@@ -33,20 +33,22 @@
 def _check_names(
     parser: configparser.RawConfigParser, path: str, groups: Groups
 ) -> None:
-    # oslo.config skips what it does not know.  A misspelt option would
-    # leave its default in force unseen, so unknown names are errors here.
+    # oslo.config ignores unknown names, so a misspelt option would silently
+    # keep its default.  Unknown names are therefore errors here.
     for section in parser.sections():
-        known = groups.get(section)
-        if known is None:
-            raise _invalid(f"unknown section [{section}]", path)
-        names = {option.dest for option in known}
+        section_options = groups.get(section)
+        if section_options is None:
+            raise _settings_error(f"unknown section [{section}]", path)
+        names = {option.dest for option in section_options}
         for name in parser.options(section):
             if name not in names:
-                raise _invalid(f"unknown option {name} in [{section}]", path)
+                raise _settings_error(
+                    f"unknown option {name} in [{section}]", path
+                )
 
 
 def load(path: str, groups: Groups = options.GROUPS) -> cfg.ConfigOpts:
-    """Read the settings file and check every option.
+    """Load the settings file and validate every option.
 
     Parameters
     ----------
@@ -63,8 +65,9 @@
     Raises
     ------
     RudderError
-        ``settings_invalid`` naming the file and the option: unknown
-        section or option, wrong type, out of bounds, or missing.
+        ``settings_invalid``, naming the file and the option, for an unknown
+        section or option, and a value that is missing, of the wrong type or
+        out of bounds.
     """
     _check_names(_parse(path), path, groups)
     conf = cfg.ConfigOpts()
@@ -76,5 +79,5 @@
             for option in group_options:
                 getattr(conf[group], option.dest)
     except (cfg.Error, ValueError) as error:
-        raise _invalid(str(error), path) from error
+        raise _settings_error(str(error), path) from error
     return conf
--- a/toucanrudder/settings/options.py
+++ b/toucanrudder/settings/options.py
@@ -1,4 +1,4 @@
-"""Every option of the router daemon: type, bounds, default and help."""
+"""Options of the router daemon: type, bounds, default and help."""
 
 from oslo_config import cfg
 
@@ -8,7 +8,9 @@
         "zone", required=True, help="Availability zone of this instance."
     ),
     cfg.IPOpt("host", default="127.0.0.1", help="Address to listen on."),
-    cfg.PortOpt("port", default=8080, help="Port for callers; 0 picks one."),
+    cfg.PortOpt(
+        "port", default=8080, help="Port for callers; 0 picks a free one."
+    ),
     cfg.PortOpt("admin_port", default=8081, help="Port of the admin API."),
     cfg.PortOpt("peer_port", default=8082, help="Port for other routers."),
     cfg.ListOpt(
@@ -29,36 +31,36 @@
         default=20.0,
         min=0.1,
         max=600,
-        help="Seconds within which a caller must send its whole body.",
+        help="Seconds within which a caller must send its whole request body.",
     ),
     cfg.FloatOpt(
         "write_timeout_s",
         default=30.0,
         min=0.1,
         max=600,
-        help="Seconds a caller may leave a written chunk unread.",
+        help="Seconds for which a caller may leave a written chunk unread.",
     ),
     cfg.FloatOpt(
         "drain_s",
         default=1.0,
         min=0,
         max=60,
-        help="Seconds between not being ready and refusing new work, so "
-        "that the balancer has noticed.",
+        help="Seconds between reporting not ready and refusing new requests; "
+        "gives the load balancer time to notice.",
     ),
     cfg.FloatOpt(
         "stop_timeout_s",
         default=600.0,
         min=1,
         max=3600,
-        help="Seconds for which a planned stop waits for open requests.",
+        help="Seconds for which a graceful shutdown waits for open requests.",
     ),
     cfg.IntOpt(
         "max_queued",
         default=512,
         min=1,
         max=100000,
-        help="Requests that may wait for admission.",
+        help="Largest number of requests that wait for admission.",
     ),
 )
 
@@ -73,14 +75,14 @@
         default=1.0,
         min=0.01,
         max=60,
-        help="Seconds a call to the store may take.",
+        help="Timeout in seconds of a call to the store.",
     ),
     cfg.FloatOpt(
         "watch_wait_s",
         default=10.0,
         min=0.1,
         max=300,
-        help="Seconds a watch waits before it is opened anew.",
+        help="Seconds for which a watch waits before it is reopened.",
     ),
 )
 
@@ -89,27 +91,27 @@
         "token",
         secret=True,
         default="",
-        help="Bearer token of operators; empty refuses every change.",
+        help="Bearer token of operators; if empty, every change is refused.",
     ),
     cfg.StrOpt("tls_certificate", default="", help="PEM file, or empty."),
     cfg.StrOpt("tls_key", default="", help="PEM file, or empty."),
 )
 
-#: Pace of the exchanges between routers, of whatever kind.
+#: Intervals of the exchanges between routers, for both daemons.
 PEER_TIMES = (
     cfg.FloatOpt(
         "interval_s",
         default=0.5,
         min=0.05,
         max=10,
-        help="Seconds between two exchanges with a peer.",
+        help="Seconds between exchanges with a peer.",
     ),
     cfg.FloatOpt(
         "silent_s",
         default=3.0,
         min=0.2,
         max=60,
-        help="Silence in seconds after which a peer counts as gone.",
+        help="Seconds without a message after which a peer counts as gone.",
     ),
 )
 
@@ -119,13 +121,13 @@
     cfg.StrOpt(
         "tls_authority",
         default="",
-        help="PEM file of the authority that signs peers' certificates.",
+        help="PEM file of the CA that signs the certificates of peers.",
     ),
     cfg.StrOpt(
         "advertise",
         default="",
-        help="IP:port at which other routers reach the peer port; empty "
-        "for the address that it listens on.",
+        help="IP:port at which other routers reach the peer port; if empty, "
+        "the address that it listens on.",
     ),
     *PEER_TIMES,
 )
@@ -136,22 +138,22 @@
         default=1.0,
         min=0.01,
         max=30,
-        help="Seconds for opening a connection to an upstream.",
+        help="Timeout in seconds for connecting to an upstream.",
     ),
     cfg.FloatOpt(
         "load_interval_s",
         default=0.25,
         min=0.01,
         max=60,
-        help="Seconds between two load reports of an upstream.",
+        help="Seconds between load reports of an upstream.",
     ),
     cfg.FloatOpt(
         "silent_event_s",
         default=5.0,
         min=0.05,
         max=600,
-        help="Silence in seconds after which a stream is resumed on a new "
-        "connection.",
+        help="Seconds without an event after which a stream is resumed on a "
+        "new connection.",
     ),
 )
 
@@ -170,8 +172,8 @@
         default=0.25,
         min=0.0,
         max=10,
-        help="Seconds for which an answer may wait until it is retained; "
-        "past it the answer is retained in the background.",
+        help="Seconds for which an answer waits to be retained; after that "
+        "it is retained in the background.",
     ),
 )
 
@@ -180,7 +182,7 @@
         "format",
         default="json",
         choices=["json", "text"],
-        help="Form of log lines.",
+        help="Format of log lines.",
     ),
     cfg.StrOpt(
         "level",
@@ -196,14 +198,14 @@
         default="toucanrudder",
         choices=["toucanrudder", "random", "least-loaded", "prefix-hash"],
         help="Placement policy; all but the first are baselines for "
-        "measurements.",
+        "benchmarks.",
     ),
     cfg.IntOpt(
         "seed",
         default=0,
         min=0,
         help="Seed of the policy's random numbers; 0 takes one from the "
-        "system.",
+        "operating system.",
     ),
 )
 
