--- a/toucanrudder/errors/tests/test_not_run.py
+++ b/toucanrudder/errors/tests/test_not_run.py
@@ -233,10 +233,10 @@
 )
 async def test_refusal_without_an_engine_after_an_attempt(may_have_run, ran):
     call = UnplaceableCall(
-        exchange=None, sink=None, order=None, may_have_run=may_have_run
+        exchange=None, sink=None, sequencer=None, may_have_run=may_have_run
     )
     with pytest.raises(errors.RudderError) as caught:
-        await call._placed()
+        await call._place_with_outcome()
     assert caught.value.ran is ran
 
 
--- a/toucanrudder/filters/admit.py
+++ b/toucanrudder/filters/admit.py
@@ -1,4 +1,4 @@
-"""Lets the request wait its turn."""
+"""Filter that queues a request until it is admitted."""
 
 from aiohttp import web
 
@@ -9,7 +9,7 @@
 async def admit(
     exchange: exchanges.Exchange, call_next: chain.Handler
 ) -> web.StreamResponse:
-    """Hold a place at this router while the request runs."""
+    """Wait for admission and hold the admitted slot while it runs."""
     request = exchange.request
     async with exchange.state.admission.admitted(
         exchange.organisation, request.priority, request.first_token_by_s
--- a/toucanrudder/filters/body.py
+++ b/toucanrudder/filters/body.py
@@ -1,4 +1,4 @@
-"""Reads a bounded body in bounded time, and parses a model request."""
+"""Filters that read a request body within limits and parse it."""
 
 import asyncio
 import hashlib
@@ -17,46 +17,46 @@
 STEP = "body"
 
 
-def _refusal(code: errors.Code, message: str) -> errors.RudderError:
+def _body_error(code: errors.Code, message: str) -> errors.RudderError:
     return errors.RudderError(code, message, step=STEP)
 
 
-async def read(
+async def read_bounded(
     request: web.Request, max_bytes: int, timeout_s: float
 ) -> bytes:
-    """Return the whole body.
+    """Return the whole body, read within the size and time limits.
 
     Raises
     ------
     RudderError
         ``body_too_large`` or ``body_too_slow``.
     """
-    too_large = _refusal(
+    too_large = _body_error(
         errors.Code.BODY_TOO_LARGE, f"body exceeds {max_bytes} bytes"
     )
     if (request.content_length or 0) > max_bytes:
         raise too_large
-    parts = bytearray()
+    received = bytearray()
     try:
-        # One deadline for the whole body: a caller that sends a byte a
-        # second would pass any limit on the pauses between bytes.
+        # The deadline covers the whole body: a limit on the pauses between
+        # bytes would not stop a caller that sends one byte per second.
         async with asyncio.timeout(timeout_s):
             async for chunk in request.content.iter_any():
-                parts += chunk
-                if len(parts) > max_bytes:
+                received += chunk
+                if len(received) > max_bytes:
                     raise too_large
     except TimeoutError:
-        raise _refusal(
+        raise _body_error(
             errors.Code.BODY_TOO_SLOW, f"body not sent within {timeout_s} s"
         ) from None
-    return bytes(parts)
+    return bytes(received)
 
 
 async def read_body(
     exchange: exchanges.Exchange, call_next: chain.Handler
 ) -> web.StreamResponse:
     """Read the body of a model request."""
-    exchange.raw = await read(
+    exchange.raw = await read_bounded(
         exchange.http,
         exchange.document.policy.max_body_bytes,
         exchange.state.conf.router.body_timeout_s,
@@ -64,15 +64,15 @@
     return await call_next(exchange)
 
 
-def _decoded(raw: bytes) -> dict:
+def _decode_object(raw: bytes) -> dict:
     try:
         body = json.loads(raw)
     except (ValueError, RecursionError):
-        raise _refusal(
+        raise _body_error(
             errors.Code.MALFORMED_JSON, "body is not valid JSON"
         ) from None
     if not isinstance(body, dict):
-        raise _refusal(
+        raise _body_error(
             errors.Code.INVALID_REQUEST, "body must be a JSON object"
         )
     return body
@@ -88,35 +88,44 @@
         ),
         (
             "max_tokens",
-            _positive_or_absent(body.get("max_tokens")),
+            _is_positive_or_absent(body.get("max_tokens")),
+            "a positive whole number",
+        ),
+        (
+            "n",
+            _is_positive_or_absent(body.get("n")),
             "a positive whole number",
         ),
-        ("n", _positive_or_absent(body.get("n")), "a positive whole number"),
     ]
     if path.endswith("/chat/completions"):
         checks.append(
-            ("messages", _messages_ok(body.get("messages")), "messages")
+            (
+                "messages",
+                _is_message_list(body.get("messages")),
+                "a non-empty list of messages",
+            )
         )
     else:
-        checks.append(("prompt", _prompt_ok(body.get("prompt")), "a string"))
-    for name, good, wanted in checks:
-        if not good:
-            raise _refusal(
-                errors.Code.INVALID_REQUEST, f"{name} must be {wanted}"
+        checks.append(("prompt", _is_string(body.get("prompt")), "a string"))
+    for name, is_valid, expected in checks:
+        if not is_valid:
+            raise _body_error(
+                errors.Code.INVALID_REQUEST, f"{name} must be {expected}"
             )
     if "continue_from" in body:
-        raise _refusal(
-            errors.Code.INVALID_REQUEST, "continue_from is not for callers"
+        raise _body_error(
+            errors.Code.INVALID_REQUEST,
+            "continue_from is reserved for the router",
         )
 
 
-def _positive_or_absent(value) -> bool:
+def _is_positive_or_absent(value) -> bool:
     if value is None:
         return True
     return isinstance(value, int) and not isinstance(value, bool) and value > 0
 
 
-def _messages_ok(value) -> bool:
+def _is_message_list(value) -> bool:
     return (
         isinstance(value, list)
         and bool(value)
@@ -129,31 +138,31 @@
     )
 
 
-def _prompt_ok(value) -> bool:
+def _is_string(value) -> bool:
     return isinstance(value, str)
 
 
-def model_of(
+def find_model(
     name: str, organisation: model.Organisation, document: model.Document
 ) -> model.Model:
-    """Return the model of this name if the organisation may use it."""
-    allowed = not organisation.models or name in organisation.models
+    """Return the named model if the organisation may use it."""
+    is_allowed = not organisation.models or name in organisation.models
     for candidate in document.models:
-        if allowed and candidate.name == name:
+        if is_allowed and candidate.name == name:
             return candidate
-    raise _refusal(errors.Code.UNKNOWN_MODEL, f"no model {name[:64]!r}")
+    raise _body_error(errors.Code.UNKNOWN_MODEL, f"no model {name[:64]!r}")
 
 
 async def parse(
     exchange: exchanges.Exchange, call_next: chain.Handler
 ) -> web.StreamResponse:
-    """Check the body and set the model request."""
-    body = _decoded(exchange.raw)
+    """Validate the body and set the exchange's model request."""
+    body = _decode_object(exchange.raw)
     path = exchange.http.path
     _check_types(body, path)
     document = exchange.document
     organisation = exchange.organisation
-    chosen = model_of(body["model"], organisation, document)
+    requested_model = find_model(body["model"], organisation, document)
     text = identity.canonical_text(path, body)
     wait_s = headers.deadline_s(
         exchange.http, document.policy.first_token_deadline_s
@@ -163,14 +172,14 @@
         organisation=organisation.name,
         priority=exchange.priority,
         path=path,
-        model=chosen.name,
+        model=requested_model.name,
         stream=bool(body.get("stream")),
         prompt_tokens=identity.estimate_prompt_tokens(text),
         prefix_keys=identity.block_keys(
             exchange.state.salt(organisation.name),
-            chosen.name,
-            chosen.adapter,
-            chosen.weights_version,
+            requested_model.name,
+            requested_model.adapter,
+            requested_model.weights_version,
             text,
         ),
         body=body,
--- a/toucanrudder/filters/chain.py
+++ b/toucanrudder/filters/chain.py
@@ -1,4 +1,4 @@
-"""Composes filters into one handler."""
+"""Composition of filters into one request handler."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -11,15 +11,15 @@
 Filter = Callable[[exchanges.Exchange, Handler], Awaitable[web.StreamResponse]]
 
 
-def chain(filters: tuple[Filter, ...], last: Handler) -> Handler:
-    """Return a handler that passes through the filters in order.
+def compose(filters: tuple[Filter, ...], final: Handler) -> Handler:
+    """Return a handler that runs the filters in order, then `final`.
 
     Parameters
     ----------
     filters : tuple of callable
-        Each takes the exchange and the next handler.
-    last : callable
-        Gives the answer.
+        Each is called with the exchange and the next handler.
+    final : callable
+        Innermost handler; returns the response.
 
     Examples
     --------
@@ -27,19 +27,19 @@
     >>> from toucanrudder.filters import chain
     >>> async def add(exchange, call_next):
     ...     return 1 + await call_next(exchange)
-    >>> async def last(exchange):
+    >>> async def final(exchange):
     ...     return exchange
-    >>> asyncio.run(chain.chain((add, add), last)(40))
+    >>> asyncio.run(chain.compose((add, add), final)(40))
     42
     """
-    handler = last
-    for each in reversed(filters):
-        handler = _bound(each, handler)
+    handler = final
+    for request_filter in reversed(filters):
+        handler = _bind(request_filter, handler)
     return handler
 
 
-def _bound(each: Filter, call_next: Handler) -> Handler:
+def _bind(request_filter: Filter, call_next: Handler) -> Handler:
     async def handle(exchange: exchanges.Exchange) -> web.StreamResponse:
-        return await each(exchange, call_next)
+        return await request_filter(exchange, call_next)
 
     return handle
--- a/toucanrudder/filters/deduplicate.py
+++ b/toucanrudder/filters/deduplicate.py
@@ -1,4 +1,4 @@
-"""Runs a call that may not be repeated at most once."""
+"""At-most-once execution of calls that may not be repeated."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -25,23 +25,23 @@
 
 @attrs.define(eq=False)
 class Answer:
-    """An instance's answer, read as far as it may be retained.
+    """A service instance's response, read up to the retention limit.
 
     Parameters
     ----------
     result : claims.Result
-        Status, headers and what was read of the body.
+        Status, headers and the part of the body that was read.
     upstream : str
         Name of the instance.
-    rest : aiohttp.ClientResponse or None
-        The open answer when there is more.
+    unread : aiohttp.ClientResponse or None
+        The open response if part of its body is still unread.
     resources : contextlib.AsyncExitStack
-        Closes the answer.
+        Closes the open response.
     """
 
     result: claims.Result
     upstream: str
-    rest: aiohttp.ClientResponse | None
+    unread: aiohttp.ClientResponse | None
     resources: contextlib.AsyncExitStack = attrs.field(
         factory=contextlib.AsyncExitStack
     )
@@ -50,19 +50,19 @@
 Send = Callable[[claims.Claim], Awaitable[Answer]]
 
 
-def digest(method: str, path: str, body: bytes) -> str:
-    """Return the digest of all that makes a call.
+def call_digest(method: str, path: str, body: bytes) -> str:
+    """Return the SHA-256 digest that identifies a call's content.
 
     Parameters
     ----------
     method, path : str
-        As the service gets them, the query included.
+        As sent to the service, including the query.
     body : bytes
-        Whole body.
+        The whole body.
 
     Examples
     --------
-    >>> digest("POST", "/a", b"") == digest("POST", "/b", b"")
+    >>> call_digest("POST", "/a", b"") == call_digest("POST", "/b", b"")
     False
     """
     hashed = hashlib.sha256(f"{method}\0{path}\0".encode())
@@ -73,44 +73,45 @@
 async def run_once(
     exchange: exchanges.Exchange, key: str, body_sha256: str, send: Send
 ) -> claims.Result | Answer:
-    """Claim the call, run it, and retain its answer.
+    """Claim the call, run it, and retain its response.
 
-    The run goes on when the caller leaves, as it may have changed the
-    service's state by then: its answer waits for the caller's next try.
+    The call continues if the caller disconnects, because it may already
+    have changed the service's state.  Its response is retained for the
+    caller's next request with the same key.
 
     Parameters
     ----------
     exchange : exchanges.Exchange
-        The call.
+        The caller's request.
     key : str
         Its idempotency key.
     body_sha256 : str
-        Its digest.
+        Digest from `call_digest`.
     send : callable
         Sends the call under a claim; raises `RudderError`, whose `ran`
-        tells whether the claim may be given back.
+        determines whether the claim may be released.
 
     Returns
     -------
     claims.Result or Answer
-        A retained answer, or a new one; the caller closes the latter.
+        A retained response, or a new one, which must be closed.
 
     Raises
     ------
     RudderError
-        As `claims.ClaimKeeper.acquire` and `send`.
+        Raised by `claims.ClaimKeeper.acquire` or `send`.
     """
     state = exchange.state
-    held = await state.claims.acquire(
+    claim = await state.claims.acquire(
         exchange.organisation.name, key, body_sha256, clock.now_s()
     )
-    if isinstance(held, decision.Replay):
-        return held.result
-    task = state.background.spawn(_run(exchange, held, send))
+    if isinstance(claim, decision.Replay):
+        return claim.result
+    task = state.background.spawn(_run(exchange, claim, send))
     try:
         outcome = await asyncio.shield(task)
     except asyncio.CancelledError:
-        task.add_done_callback(lambda done: _discard(state, done))
+        task.add_done_callback(lambda task: _close_answer(state, task))
         raise
     if isinstance(outcome, errors.RudderError):
         raise outcome
@@ -120,7 +121,8 @@
 async def _run(
     exchange: exchanges.Exchange, claim: claims.Claim, send: Send
 ) -> Answer | errors.RudderError:
-    # Counted by itself: a planned stop waits for it without its caller.
+    # Counted separately, so that a graceful shutdown waits for this call
+    # even if its caller has disconnected.
     with exchange.state.exchanges.counted():
         try:
             answer = await send(claim)
@@ -128,48 +130,48 @@
             if error.ran is errors.Ran.NOT_RUN:
                 await claim.release()
             return error
-        kept = answer.result if answer.rest is None else None
-        await claim.finish(kept)
+        result = answer.result if answer.unread is None else None
+        await claim.finish(result)
         return answer
 
 
-def _discard(state, done: asyncio.Task) -> None:
-    if done.cancelled() or done.exception() is not None:
+def _close_answer(state, task: asyncio.Task) -> None:
+    if task.cancelled() or task.exception() is not None:
         return
-    if isinstance(done.result(), Answer):
-        state.spawn(done.result().resources.aclose())
+    if isinstance(task.result(), Answer):
+        state.spawn(task.result().resources.aclose())
 
 
 async def read_answer(
     response: aiohttp.ClientResponse, upstream: str
 ) -> Answer:
-    """Read an answer as far as it may be retained.
+    """Read a response up to the retention limit.
 
     Parameters
     ----------
     response : aiohttp.ClientResponse
-        The open answer.
+        The open response.
     upstream : str
-        Name of the instance that gave it.
+        Name of the instance that sent it.
 
     Raises
     ------
     RudderError
-        ``upstream_failed``: it broke off; whether the call ran to its end
-        is unknown.
+        ``upstream_failed``: the response was cut off; whether the call
+        ran to its end is unknown.
     """
     body = bytearray()
-    more = False
+    is_truncated = False
     try:
         async for chunk in response.content.iter_any():
             body += chunk
             if len(body) > claims.MAX_RESULT_BYTES:
-                more = True
+                is_truncated = True
                 break
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
         raise errors.RudderError(
             errors.Code.UPSTREAM_FAILED,
-            "the service's answer broke off",
+            "the service's response was cut off",
             step=STEP,
             peer=upstream,
             ran=errors.Ran.UNKNOWN,
@@ -179,22 +181,22 @@
         tuple(service.forwarded_headers(response.headers).items()),
         bytes(body),
     )
-    return Answer(result, upstream, response if more else None)
+    return Answer(result, upstream, response if is_truncated else None)
 
 
-def replayed(
-    exchange: exchanges.Exchange, result: claims.Result, again: bool
+def response_from_result(
+    exchange: exchanges.Exchange, result: claims.Result, is_replay: bool
 ) -> web.Response:
-    """Return a whole answer for the caller.
+    """Return a complete response for the caller.
 
     Parameters
     ----------
     exchange : exchanges.Exchange
-        The call.
+        The caller's request.
     result : claims.Result
-        The answer.
-    again : bool
-        Whether it is an earlier try's.
+        Status, headers and body.
+    is_replay : bool
+        Whether the result was retained from an earlier request.
     """
     response = web.Response(
         status=result.status,
@@ -202,6 +204,6 @@
         headers=multidict.CIMultiDict(result.headers),
     )
     response.headers[headers.REQUEST_ID] = exchange.request_id
-    if again:
+    if is_replay:
         response.headers[REPLAYED] = "1"
     return response
--- a/toucanrudder/filters/dispatch.py
+++ b/toucanrudder/filters/dispatch.py
@@ -1,4 +1,4 @@
-"""Last step of a model request: run it and answer its caller."""
+"""Innermost handler of model requests: runs them and responds."""
 
 from aiohttp import web
 
@@ -13,24 +13,24 @@
 
 
 async def dispatch(exchange: exchanges.Exchange) -> web.StreamResponse:
-    """Answer a model request."""
-    sink = _sink(exchange)
+    """Run a model request and return its response."""
+    sink = _create_sink(exchange)
     call = model_call.ModelCall(
-        exchange=exchange, sink=sink, order=relay.Sequencer(b"")
+        exchange=exchange, sink=sink, sequencer=relay.Sequencer(b"")
     )
     try:
         await call.run()
     except model_call.RejectedError as rejected:
-        return _rejection(rejected.failure, exchange)
+        return _rejection_response(rejected.failure, exchange)
     except errors.RudderError as error:
         if not sink.started:
             raise
         metrics.count_refusal(error.code.value, error.step)
         await sink.fail(error, exchange.request_id)
-    return await _finished(exchange, sink)
+    return await _finish_response(exchange, sink)
 
 
-def _sink(exchange: exchanges.Exchange) -> sinks.Sink:
+def _create_sink(exchange: exchanges.Exchange) -> sinks.Sink:
     if not exchange.request.stream:
         return sinks.WholeSink()
     state = exchange.state
@@ -49,7 +49,7 @@
     )
 
 
-async def _finished(exchange, sink) -> web.StreamResponse:
+async def _finish_response(exchange, sink) -> web.StreamResponse:
     if isinstance(sink, sinks.StreamSink):
         await sink.response.write_eof()
         return sink.response
@@ -58,7 +58,7 @@
     )
 
 
-def _rejection(failure, exchange) -> web.Response:
+def _rejection_response(failure, exchange) -> web.Response:
     metrics.count_refusal("rejected_by_engine", model_call.STEP)
     return web.Response(
         body=failure.body,
--- a/toucanrudder/filters/engine_try.py
+++ b/toucanrudder/filters/engine_try.py
@@ -20,35 +20,35 @@
 
 @attrs.define(eq=False)
 class EngineTry:
-    """A request at the engine that was chosen for it.
+    """One try of a model request at the engine chosen for it.
 
     Parameters
     ----------
     exchange : exchanges.Exchange
         The request.
     sink : sinks.Sink
-        Where its answer goes.
-    order : relay.Sequencer
-        Order of the answer's events, over all tries.
+        Receives the answer.
+    sequencer : relay.Sequencer
+        Tracks the order of the answer's events across all tries.
     decision : types.Decision
-        The choice, and what is expected of it.
+        The placement decision, with its expected wait and cache hits.
     upstream : model.Upstream
         The engine.
     isolated : bool
-        Whether the request is a suspect on trial there.
-    begin_by_s : float
-        Monotonic time by which this try's first event must have come.
+        Whether the request is a suspect on trial at this engine.
+    first_event_by_s : float
+        Deadline of this try's first event, in monotonic time.
     first_try : bool
-        Whether no engine was tried before.
+        Whether this is the request's first try.
     """
 
     exchange: exchanges.Exchange
     sink: sinks.Sink
-    order: relay.Sequencer
+    sequencer: relay.Sequencer
     decision: types.Decision
     upstream: model.Upstream
     isolated: bool
-    begin_by_s: float
+    first_event_by_s: float
     first_try: bool
 
     async def run(self) -> None:
@@ -57,9 +57,9 @@
         Raises
         ------
         UpstreamFailure
-            The engine cannot give the rest.
+            The engine cannot complete the answer.
         CallerGone
-            Nobody takes the answer.
+            The caller disconnected or does not read.
         """
         state = self.exchange.state
         request = self.exchange.request
@@ -78,7 +78,7 @@
             state.suspicions.record_completion(
                 entry.fingerprint, state.wall_s()
             )
-        self._learn(attempt)
+        self._record_cache_hits(attempt)
         self._export()
 
     async def _relay(
@@ -88,12 +88,13 @@
         try:
             async with attempts.cancelled_if_unfinished(attempt, state.spawn):
                 await self._import(entry)
-                self._believe_sent()
+                self._record_dispatch()
                 self.sink.at(self.upstream.name, attempt.call.engine_id)
                 await attempt.run()
         except failures.UpstreamFailure as failure:
-            # Here, while this request and all others of the batch are
-            # still counted as being at the engine.
+            # Recorded here, while this request and the others in the
+            # engine's batch are still tracked as in flight: all of them
+            # are suspects.
             if failure.kind in failures.PRESUMES_CRASH:
                 state.crashed(
                     self.upstream.name,
@@ -104,19 +105,17 @@
     async def _import(self, entry: in_flight.InFlightRequest) -> None:
         state = self.exchange.state
         store = self.exchange.document.policy.kv_store
-        if not store or state.kept is None or self.order.last:
+        if not store or state.kept is None or self.sequencer.last:
             return
-        known = state.loads.get(self.upstream.name)
-        order = state.kept.plan_import(
+        load = state.loads.get(self.upstream.name)
+        plan = state.kept.plan_import(
             self.decision,
             fleets.query_of(self.exchange.request),
-            known.report.prefill_tokens_per_s if known else 0.0,
+            load.report.prefill_tokens_per_s if load else 0.0,
             state.now_s(),
         )
-        if order is not None:
-            tokens = await state.kept.import_blocks(
-                self.upstream, order, store
-            )
+        if plan is not None:
+            tokens = await state.kept.import_blocks(self.upstream, plan, store)
             entry.prefill_tokens = max(0, entry.prefill_tokens - tokens)
 
     def _export(self) -> None:
@@ -125,14 +124,14 @@
         if not store or state.kept is None:
             return
         keys = self.exchange.request.prefix_keys
-        hot = state.kept.keys_to_export(keys, state.now_s())
-        if hot:
-            state.spawn(state.kept.export(self.upstream, hot, store))
+        hot_keys = state.kept.keys_to_export(keys, state.now_s())
+        if hot_keys:
+            state.spawn(state.kept.export(self.upstream, hot_keys, store))
 
     def _attempt(self, entry: in_flight.InFlightRequest) -> attempts.Attempt:
         state = self.exchange.state
 
-        def first() -> None:
+        def on_first_event() -> None:
             entry.prefill_tokens = 0
             entry.incarnation = attempt.answered_by
             self._record_first_token()
@@ -141,31 +140,31 @@
             client=state.engines,
             upstream=self.upstream,
             call=self._engine_call(),
-            order=self.order,
+            order=self.sequencer,
             sink=self.sink,
-            patience=state.patience(self.upstream.name, self.begin_by_s),
+            patience=state.patience(self.upstream.name, self.first_event_by_s),
             incarnation=self.decision.incarnation,
             rng=state.rng,
-            on_first=first,
+            on_first=on_first_event,
         )
         return attempt
 
     def _engine_call(self) -> engine.EngineCall:
         request = self.exchange.request
-        # Each try has an identity of its own: a caller's may not be
-        # unique, and an engine that is tried again may still hold the
-        # first try's stream.
+        # Each try has its own ID: a caller's request ID may not be unique,
+        # and an engine that is tried again may still hold the stream of an
+        # earlier try.
         engine_id = uuid.uuid4().hex
-        self.order.moved(engine_id.encode())
+        self.sequencer.moved(engine_id.encode())
         body = {
             **request.body,
             "stream": True,
             "stream_options": {"include_usage": True},
         }
-        if self.order.last:
+        if self.sequencer.last:
             body["continue_from"] = {
                 "text": self.sink.text_so_far(),
-                "events": self.order.last,
+                "events": self.sequencer.last,
             }
         return engine.EngineCall(
             engine_id=engine_id,
@@ -184,7 +183,7 @@
             {"priority": exchange.request.priority.label},
         )
 
-    def _believe_sent(self) -> None:
+    def _record_dispatch(self) -> None:
         state = self.exchange.state
         state.beliefs.record_dispatch(
             self.upstream.name,
@@ -193,12 +192,12 @@
             state.now_s(),
         )
 
-    def _learn(self, attempt: attempts.Attempt) -> None:
+    def _record_cache_hits(self, attempt: attempts.Attempt) -> None:
         usage = self.sink.usage() or {}
         details = usage.get("prompt_tokens_details") or {}
         cached = details.get("cached_tokens")
         if cached is None or not self.first_try:
-            # A continued answer's usage speaks of a longer prompt.
+            # A continuation's usage counts the earlier text as prompt.
             return
         state = self.exchange.state
         if attempt.answered_by != self.decision.incarnation:
--- a/toucanrudder/filters/exchange.py
+++ b/toucanrudder/filters/exchange.py
@@ -1,4 +1,4 @@
-"""What the filters know of one request."""
+"""State of one HTTP request, shared by the filters."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 @attrs.define
 class Exchange:
-    """One request on its way through the chain.
+    """One HTTP request that passes through the filter chain.
 
     Parameters
     ----------
     http : aiohttp.web.Request
-        The request as it came.
+        The request as received.
     state : state.RouterState
         The router's state.
     request_id : str
-        Identity that the caller sees.
+        Request ID returned to the caller.
     arrived_s : float
-        Time by the loop's clock.
+        Arrival time on the event loop's clock.
     organisation : model.Organisation or None
-        Set by the filter that identifies.
+        Set by the ``identify`` filter.
     priority : messages.Priority
-        Set by the filter that identifies.
+        Set by the ``identify`` filter.
     raw : bytes
-        The request's body, set by the filter that reads it.
+        The request's body, set by the ``read_body`` filter.
     request : messages.ModelRequest or None
-        Set by the filter that parses.
+        Set by the ``parse`` filter.
     """
 
     http: web.Request
@@ -49,5 +49,5 @@
 
     @property
     def document(self) -> model.Document:
-        """The configuration in force when it is asked for."""
+        """The configuration in force at the time of access."""
         return self.state.document()
--- a/toucanrudder/filters/guard.py
+++ b/toucanrudder/filters/guard.py
@@ -1,4 +1,4 @@
-"""Outermost filter: identity, counting, and errors as answers."""
+"""Outermost filter: counts requests and turns errors into responses."""
 
 import asyncio
 import logging
@@ -15,37 +15,39 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Status in logs for a caller who left; nobody receives it.
-CLIENT_CLOSED = 499
+#: Status of a request whose caller has disconnected; never sent.
+CLIENT_CLOSED_REQUEST = 499
 
 
 def error_response(error: errors.RudderError, request_id: str) -> web.Response:
-    """Return the answer that tells the caller of the error."""
-    answer_headers = {headers.REQUEST_ID: request_id}
+    """Return the HTTP response for an error."""
+    response_headers = {headers.REQUEST_ID: request_id}
     if error.retry_after_s is not None:
-        answer_headers["Retry-After"] = str(math.ceil(error.retry_after_s))
+        response_headers["Retry-After"] = str(math.ceil(error.retry_after_s))
     if error.code is errors.Code.UNAUTHORIZED:
-        answer_headers["WWW-Authenticate"] = "Bearer"
+        response_headers["WWW-Authenticate"] = "Bearer"
     return web.json_response(
-        error.as_body(request_id), status=error.status, headers=answer_headers
+        error.as_body(request_id),
+        status=error.status,
+        headers=response_headers,
     )
 
 
 async def guard(
     exchange: exchanges.Exchange, call_next: chain.Handler
 ) -> web.StreamResponse:
-    """Count the exchange in, and turn each error into its answer."""
+    """Count the request as open, and turn errors into responses."""
     with exchange.state.exchanges.counted():
         try:
             return await call_next(exchange)
         except errors.RudderError as error:
-            _report(error, exchange)
+            _record_refusal(error, exchange)
             return error_response(error, exchange.request_id)
         except sinks.CallerGone:
             metrics.counter(
                 "toucanrudder_callers_gone", "Callers who left or stalled"
             ).add(1)
-            return web.Response(status=CLIENT_CLOSED)
+            return web.Response(status=CLIENT_CLOSED_REQUEST)
         except asyncio.CancelledError:
             metrics.counter(
                 "toucanrudder_callers_gone", "Callers who left or stalled"
@@ -56,18 +58,20 @@
                 "unexpected failure",
                 extra={"request_id": exchange.request_id, "step": "guard"},
             )
-            # Whether an upstream ran the request cannot be known here.
+            # An upstream may have run the request before this failure.
             error = errors.RudderError(
                 errors.Code.INTERNAL,
-                "the router failed",
+                "internal error in the router",
                 step="guard",
                 ran=errors.Ran.UNKNOWN,
             )
-            _report(error, exchange)
+            _record_refusal(error, exchange)
             return error_response(error, exchange.request_id)
 
 
-def _report(error: errors.RudderError, exchange: exchanges.Exchange) -> None:
+def _record_refusal(
+    error: errors.RudderError, exchange: exchanges.Exchange
+) -> None:
     metrics.count_refusal(error.code.value, error.step)
     organisation = exchange.organisation
     LOG.info(
--- a/toucanrudder/filters/headers.py
+++ b/toucanrudder/filters/headers.py
@@ -1,4 +1,4 @@
-"""Reads the request's headers strictly."""
+"""Strict parsing of request headers."""
 
 import string
 
@@ -23,71 +23,77 @@
 STEP = "headers"
 
 
-def _bad(name: str, why: str) -> errors.RudderError:
+def _header_error(name: str, problem: str) -> errors.RudderError:
     return errors.RudderError(
-        errors.Code.BAD_HEADER, f"{name} {why}", step=STEP
+        errors.Code.BAD_HEADER, f"{name} {problem}", step=STEP
     )
 
 
-def single(request: web.Request, name: str) -> str | None:
+def single_value(request: web.Request, name: str) -> str | None:
     """Return the header's value, or None when it is absent.
 
     Raises
     ------
     RudderError
-        ``bad_header``: sent twice, empty, too long, or with characters
-        that may not stand in a log line or in another header.
+        ``bad_header``: sent more than once, empty, too long, or with
+        characters that are unsafe in a log line or another header.
     """
     values = request.headers.getall(name, [])
     if not values:
         return None
-    # Two keys in one request would let two parties each see "their" key.
+    # With two values, two components could each use a different one.
     if len(values) > 1:
-        raise _bad(name, "is given more than once")
+        raise _header_error(name, "is given more than once")
     value = values[0]
     if not 0 < len(value) <= MAX_VALUE_CHARACTERS:
-        raise _bad(name, f"must have 1 to {MAX_VALUE_CHARACTERS} characters")
+        raise _header_error(
+            name, f"must have 1 to {MAX_VALUE_CHARACTERS} characters"
+        )
     if not _PRINTABLE.issuperset(value):
-        raise _bad(name, "has characters that are not allowed")
+        raise _header_error(name, "has characters that are not allowed")
     return value
 
 
-def bearer(request: web.Request) -> str:
-    """Return the API key; the empty string when there is none."""
+def bearer_token(request: web.Request) -> str:
+    """Return the API key, or an empty string if there is none."""
     values = request.headers.getall(AUTHORIZATION, [])
     if len(values) > 1:
-        raise _bad(AUTHORIZATION, "is given more than once")
+        raise _header_error(AUTHORIZATION, "is given more than once")
     scheme, _, key = (values[0] if values else "").partition(" ")
     return key.strip() if scheme.lower() == "bearer" else ""
 
 
 def priority(request: web.Request, default: str) -> messages.Priority:
-    """Return the priority class that the request asks for."""
-    label = single(request, PRIORITY) or default
+    """Return the requested priority class."""
+    label = single_value(request, PRIORITY) or default
     try:
         return messages.Priority[label.upper()]
     except KeyError:
-        known = ", ".join(p.label for p in messages.Priority)
-        raise _bad(PRIORITY, f"must be one of {known}") from None
+        allowed = ", ".join(p.label for p in messages.Priority)
+        raise _header_error(PRIORITY, f"must be one of {allowed}") from None
 
 
 def deadline_s(request: web.Request, default_s: float) -> float:
-    """Return the seconds that the caller waits for the first token."""
-    value = single(request, DEADLINE_S)
+    """Return how long the caller waits for the first token, in seconds."""
+    value = single_value(request, DEADLINE_S)
     if value is None:
         return default_s
     try:
         seconds = float(value)
     except ValueError:
-        raise _bad(DEADLINE_S, "must be a number of seconds") from None
+        raise _header_error(
+            DEADLINE_S, "must be a number of seconds"
+        ) from None
     if not 0 < seconds <= MAX_DEADLINE_S:
-        raise _bad(DEADLINE_S, f"must be above 0, at most {MAX_DEADLINE_S}")
+        raise _header_error(
+            DEADLINE_S, f"must be above 0, at most {MAX_DEADLINE_S}"
+        )
     return seconds
 
 
-def event_number(request: web.Request) -> int:
-    """Return the number of the last event that the caller has."""
-    value = single(request, LAST_EVENT_ID) or "0"
+def last_event_number(request: web.Request) -> int:
+    """Return the number of the last event that the caller received."""
+    value = single_value(request, LAST_EVENT_ID) or "0"
     if not value.isdigit() or len(value) > 18:
-        raise _bad(LAST_EVENT_ID, "must be a whole number")
+        raise _header_error(LAST_EVENT_ID, "must be a whole number")
     return int(value)
--- a/toucanrudder/filters/identify.py
+++ b/toucanrudder/filters/identify.py
@@ -1,4 +1,4 @@
-"""Finds out whose request it is and in which class it runs."""
+"""Filter that sets the organisation and priority of a request."""
 
 import hashlib
 
@@ -15,25 +15,25 @@
 
 
 def organisation_of(
-    api_key: str, by_digest: dict[str, model.Organisation]
+    api_key: str, organisations: dict[str, model.Organisation]
 ) -> model.Organisation:
     """Return the organisation that the API key belongs to.
 
     Raises
     ------
     RudderError
-        ``unauthorized``, in the same words whether a key was missing,
-        malformed or unknown.
+        ``unauthorized``; the message is the same for a missing, a
+        malformed and an unknown key.
     """
-    # The digest is looked up, never compared byte by byte with a stored
-    # key: the time taken says nothing about keys that exist.
+    # The key's digest is looked up, and no stored key is compared byte by
+    # byte, so that the time taken reveals nothing about existing keys.
     digest = hashlib.sha256(api_key.encode("utf-8", "replace")).hexdigest()
-    found = by_digest.get(digest) if api_key else None
-    if found is None:
+    organisation = organisations.get(digest) if api_key else None
+    if organisation is None:
         raise errors.RudderError(
             errors.Code.UNAUTHORIZED, "API key missing or unknown", step=STEP
         )
-    return found
+    return organisation
 
 
 async def identify(
@@ -42,10 +42,11 @@
     """Set the organisation and the priority class."""
     state = exchange.state
     organisation = organisation_of(
-        headers.bearer(exchange.http), state.organisations_by_digest()
+        headers.bearer_token(exchange.http), state.organisations_by_digest()
     )
     exchange.organisation = organisation
-    asked = headers.priority(exchange.http, organisation.default_priority)
-    most = messages.Priority[organisation.max_priority.upper()]
-    exchange.priority = max(asked, most)
+    requested = headers.priority(exchange.http, organisation.default_priority)
+    highest_allowed = messages.Priority[organisation.max_priority.upper()]
+    # A greater value is a lower priority.
+    exchange.priority = max(requested, highest_allowed)
     return await call_next(exchange)
--- a/toucanrudder/filters/model_call.py
+++ b/toucanrudder/filters/model_call.py
@@ -1,4 +1,4 @@
-"""A model request's way over one or more engines."""
+"""Execution of a model request, with retries on other engines."""
 
 import logging
 
@@ -32,12 +32,12 @@
 
 
 class RejectedError(Exception):
-    """The engine found the request itself wrong; its words go back.
+    """The engine rejected the request; its response is passed on.
 
     Parameters
     ----------
     failure : failures.UpstreamFailure
-        Status and body that the engine gave.
+        Status and body of the engine's response.
     """
 
     def __init__(self, failure: failures.UpstreamFailure):
@@ -47,34 +47,34 @@
 
 @attrs.define
 class ModelCall:
-    """One request's way over one or more engines.
+    """Execution of one model request on one or more engines.
 
     Parameters
     ----------
     exchange : exchanges.Exchange
         The request.
     sink : sinks.Sink
-        Where its answer goes.
-    order : relay.Sequencer
-        Order of the answer's events.
+        Receives the answer.
+    sequencer : relay.Sequencer
+        Tracks the order of the answer's events.
     """
 
     exchange: exchanges.Exchange
     sink: sinks.Sink
-    order: relay.Sequencer
+    sequencer: relay.Sequencer
     tried: set[str] = attrs.field(factory=set)
     tries: int = 0
     may_have_run: bool = False
     crashes: int = 0
 
     async def run(self) -> None:
-        """Try engines until the answer is whole, or raise RudderError."""
+        """Try engines until the answer is complete, or raise RudderError."""
         try:
             await self._run()
         except errors.RudderError:
-            # The caller sends a refused request again, usually to another
-            # router.  One that had not heard of the crash would let it
-            # crash a further engine.
+            # The caller usually retries a refused request at another
+            # router, which must know of the crash, or the request could
+            # crash another engine there.
             if self.crashes:
                 await self.exchange.state.tell_peers()
             raise
@@ -83,26 +83,26 @@
         state = self.exchange.state
         state.budget(self._pool()).record_request(state.now_s())
         while True:
-            decision, isolated = await self._placed()
+            decision, isolated = await self._place_with_outcome()
             self.tried.add(decision.upstream)
             self.tries += 1
             try:
-                await self._try(decision, isolated)
+                await self._try_engine(decision, isolated)
                 return
             except failures.UpstreamFailure as failure:
-                step = self._after(failure)
+                step = self._next_step(failure)
             await state.sleep(step.delay_s)
 
     def _pool(self) -> str:
-        # The budget bounds retries of the engines that serve one model.
+        # One retry budget is shared by all engines that serve a model.
         return self.exchange.request.model
 
-    async def _placed(self) -> tuple[types.Decision, bool]:
+    async def _place_with_outcome(self) -> tuple[types.Decision, bool]:
         try:
             return await self._place()
         except errors.RudderError as error:
-            # Placement itself ran nothing, but an earlier try of this
-            # request may have: "not run" would be untrue.
+            # Placement runs nothing, but an earlier try may have run the
+            # request, so "not run" would be wrong.
             if self.may_have_run:
                 error.ran = errors.Ran.UNKNOWN
             raise
@@ -112,54 +112,59 @@
         request = self.exchange.request
         standing = state.standing(request)
         if standing is quarantine.Standing.SUSPECT:
-            trial = await self._awaited_trial()
+            trial = await self._wait_for_trial()
             if trial is not None:
-                return _on_trial(state, trial), True
+                return _trial_decision(state, trial), True
         now_s = state.now_s()
         engines = state.engines_for(request.model, now_s)
-        # A second try goes elsewhere if there is an elsewhere.
+        # A retry uses an engine that was not tried yet, if there is one.
         engines = self._untried(engines) or engines
         decision = state.place(request, engines, now_s)
         return decision, False
 
-    async def _awaited_trial(self) -> quarantine.Trial | None:
+    async def _wait_for_trial(self) -> quarantine.Trial | None:
         state = self.exchange.state
         request = self.exchange.request
         trial = state.trial(request, state.now_s())
         while trial is not None and trial.wait_s > 0:
             await state.sleep(trial.wait_s)
-            # Meanwhile a copy of it may have crashed another engine, and
-            # other routers may have told of more suspects.
+            # During the wait, a copy of the request may have crashed
+            # another engine, or peers may have reported more suspects.
+            # Raises if the request is quarantined by now.
             state.standing(request)
             trial = state.trial(request, state.now_s())
         return trial
 
     def _untried(self, engines):
-        return tuple(each for each in engines if each.name not in self.tried)
+        return tuple(
+            engine for engine in engines if engine.name not in self.tried
+        )
 
-    async def _try(self, decision: types.Decision, isolated: bool) -> None:
+    async def _try_engine(
+        self, decision: types.Decision, isolated: bool
+    ) -> None:
         await engine_try.EngineTry(
             exchange=self.exchange,
             sink=self.sink,
-            order=self.order,
+            sequencer=self.sequencer,
             decision=decision,
             upstream=self.exchange.state.upstream(decision.upstream),
             isolated=isolated,
-            begin_by_s=self._begin_by_s(),
+            first_event_by_s=self._first_event_by_s(),
             first_try=self.tries == 1,
         ).run()
 
-    def _begin_by_s(self) -> float:
-        # The caller's deadline is for the first token.  Once that has come
-        # it must not stop another engine from going on: any stream that is
-        # older than the deadline would break with its engine.
+    def _first_event_by_s(self) -> float:
+        # The caller's deadline applies to the first token only.  Applied to
+        # a later try, it would keep another engine from continuing a stream
+        # that is older than the deadline when its engine fails.
         exchange = self.exchange
-        if not self.order.last:
+        if not self.sequencer.last:
             return exchange.request.first_token_by_s
         limit_s = exchange.document.policy.first_token_deadline_s
         return exchange.state.now_s() + limit_s
 
-    def _after(
+    def _next_step(
         self, failure: failures.UpstreamFailure
     ) -> retries.Retry | retries.Continue:
         exchange = self.exchange
@@ -199,9 +204,9 @@
         state = exchange.state
         answer = retries.AnswerState(
             repeatable=True,
-            sent_events=self.order.last,
+            sent_events=self.sequencer.last,
             can_continue=(
-                self.order.last > 0 and self.sink.text_so_far() is not None
+                self.sequencer.last > 0 and self.sink.text_so_far() is not None
             ),
             may_have_run=self.may_have_run,
         )
@@ -211,18 +216,18 @@
             answer,
             tries=self.tries,
             max_tries=policy.max_tries,
-            deadline_s=self._begin_by_s(),
+            deadline_s=self._first_event_by_s(),
             budget=state.budget(self._pool()),
             rng=state.rng,
             now_s=state.now_s(),
         )
 
 
-def _on_trial(state, trial: quarantine.Trial) -> types.Decision:
-    known = state.loads.get(trial.upstream)
+def _trial_decision(state, trial: quarantine.Trial) -> types.Decision:
+    load = state.loads.get(trial.upstream)
     return types.Decision(
         upstream=trial.upstream,
-        incarnation=known.report.incarnation if known else "",
+        incarnation=load.report.incarnation if load else "",
         expected_hit_tokens=0,
         expected_wait_s=0.0,
         reason="trial",
--- a/toucanrudder/filters/models.py
+++ b/toucanrudder/filters/models.py
@@ -1,4 +1,4 @@
-"""Lists the models that an organisation may use."""
+"""The list of models that an organisation may use."""
 
 from aiohttp import web
 
@@ -6,20 +6,20 @@
 
 
 async def list_models(exchange: exchanges.Exchange) -> web.StreamResponse:
-    """Answer ``GET /v1/models`` in the OpenAI shape."""
+    """Answer ``GET /v1/models`` in the OpenAI format."""
     allowed = exchange.organisation.models
     return web.json_response(
         {
             "object": "list",
             "data": [
                 {
-                    "id": each.name,
+                    "id": entry.name,
                     "object": "model",
                     "created": 0,
                     "owned_by": "toucanrudder",
                 }
-                for each in exchange.document.models
-                if not allowed or each.name in allowed
+                for entry in exchange.document.models
+                if not allowed or entry.name in allowed
             ],
         }
     )
--- a/toucanrudder/filters/quarantine.py
+++ b/toucanrudder/filters/quarantine.py
@@ -1,4 +1,4 @@
-"""Refuses requests that have crashed the engines which ran them."""
+"""Filter that refuses requests known to crash engines."""
 
 from aiohttp import web
 
@@ -9,6 +9,6 @@
 async def quarantine(
     exchange: exchanges.Exchange, call_next: chain.Handler
 ) -> web.StreamResponse:
-    """Refuse a quarantined request before it waits for anything."""
+    """Refuse a quarantined request before it is queued."""
     exchange.state.standing(exchange.request)
     return await call_next(exchange)
--- a/toucanrudder/filters/share.py
+++ b/toucanrudder/filters/rate_limit.py
@@ -1,4 +1,4 @@
-"""Applies the organisation's rate limit."""
+"""Filter that applies the organisation's rate limit."""
 
 from aiohttp import web
 
@@ -6,7 +6,7 @@
 from toucanrudder.filters import exchange as exchanges
 
 
-async def limit(
+async def check_rate_limit(
     exchange: exchanges.Exchange, call_next: chain.Handler
 ) -> web.StreamResponse:
     """Refuse the request if the organisation is above its rate."""
--- a/toucanrudder/filters/resume.py
+++ b/toucanrudder/filters/resume.py
@@ -1,4 +1,4 @@
-"""Resumes a stream that another router had started, or this one."""
+"""Handler that resumes a stream started at this or another router."""
 
 from aiohttp import web
 
@@ -17,28 +17,30 @@
 RETRY_AFTER_S = 1.0
 
 
-def _find(
+def _find_upstream(
     exchange: exchanges.Exchange, stream: tokens.Stream
 ) -> model.Upstream:
-    # The token is signed, but it may have been handed on: it serves only
-    # the organisation whose stream it names.
+    # A valid token may have been passed to another organisation; it may
+    # be used only by the organisation whose stream it names.
     upstream = exchange.state.upstream(stream.upstream)
     if upstream is None or stream.organisation != exchange.organisation.name:
-        raise _unknown(stream.upstream)
+        raise _unknown_stream(stream.upstream)
     return upstream
 
 
-def _unknown(peer: str) -> errors.RudderError:
+def _unknown_stream(peer: str) -> errors.RudderError:
     return errors.RudderError(
         errors.Code.UNKNOWN_STREAM,
-        "the stream is over or was never here",
+        "the stream has ended or is unknown",
         step=STEP,
         peer=peer,
         ran=errors.Ran.UNKNOWN,
     )
 
 
-def _attempt(exchange, upstream, stream, after) -> attempts.Attempt:
+def _create_attempt(
+    exchange, upstream, stream, last_event
+) -> attempts.Attempt:
     state = exchange.state
     sink = sinks.StreamSink(
         exchange.http,
@@ -51,7 +53,7 @@
         client=state.engines,
         upstream=upstream,
         call=engine.EngineCall(stream.engine_id, "", {}, 0, ""),
-        order=relay.Sequencer(stream.engine_id.encode(), last=after),
+        order=relay.Sequencer(stream.engine_id.encode(), last=last_event),
         sink=sink,
         patience=state.patience(
             upstream.name,
@@ -64,19 +66,19 @@
 
 
 async def resume(exchange: exchanges.Exchange) -> web.StreamResponse:
-    """Relay the rest of the stream that the token names."""
+    """Relay the rest of the stream named by the resume token."""
     state = exchange.state
-    after = headers.event_number(exchange.http)
+    last_event = headers.last_event_number(exchange.http)
     stream = tokens.verify(
         state.conf.router.fleet_key, exchange.http.match_info["token"]
     )
-    upstream = _find(exchange, stream)
-    attempt = _attempt(exchange, upstream, stream, after)
+    upstream = _find_upstream(exchange, stream)
+    attempt = _create_attempt(exchange, upstream, stream, last_event)
     try:
         async with attempts.cancelled_if_unfinished(attempt, state.spawn):
             await attempt.resume()
     except failures.UpstreamFailure as failure:
-        error = _refusal(failure)
+        error = _resume_error(failure)
         if not attempt.sink.started:
             raise error from failure
         await attempt.sink.fail(error, exchange.request_id)
@@ -84,12 +86,12 @@
     return attempt.sink.response
 
 
-def _refusal(failure: failures.UpstreamFailure) -> errors.RudderError:
+def _resume_error(failure: failures.UpstreamFailure) -> errors.RudderError:
     if failure.kind in (failures.Kind.LOST, failures.Kind.CRASHED):
-        return _unknown(failure.upstream)
+        return _unknown_stream(failure.upstream)
     return errors.RudderError(
         errors.Code.STREAM_BROKEN,
-        "the stream cannot be reached now",
+        "the stream is temporarily unreachable",
         step=STEP,
         peer=failure.upstream,
         ran=errors.Ran.UNKNOWN,
--- a/toucanrudder/filters/service.py
+++ b/toucanrudder/filters/service.py
@@ -1,4 +1,4 @@
-"""Plain services: which one, which route, and the call itself."""
+"""Handler of calls to plain services: routing, retries and relay."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Awaitable
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class ServiceCall:
-    """A call to a service, read from the caller's request."""
+    """A call to a service, parsed from the caller's request."""
 
     service: model.Service
     repeatable: bool
@@ -41,8 +41,8 @@
     body: bytes = attrs.field(repr=False)
 
 
-def find(document: model.Document, name: str) -> model.Service:
-    """Return the service of this name."""
+def find_service(document: model.Document, name: str) -> model.Service:
+    """Return the service with this name."""
     for candidate in document.services:
         if candidate.name == name:
             return candidate
@@ -51,68 +51,70 @@
     )
 
 
-def repeatable(found: model.Service, method: str, path: str) -> bool:
-    """Whether a call may be run twice; the first matching route decides.
+def is_repeatable(target: model.Service, method: str, path: str) -> bool:
+    """Return whether a call may be run twice, per the first matching route.
 
-    Without a matching route only the methods that HTTP calls safe may be
-    repeated: a forgotten route must not double a booking.
+    Without a matching route, only HTTP's safe methods may be repeated, so
+    that a missing route cannot cause a booking to be made twice.
 
     Examples
     --------
     >>> from toucanrudder.document import model
     >>> from toucanrudder.filters import service
-    >>> found = model.Service(
+    >>> target = model.Service(
     ...     "booking", (model.Route("POST", "/quotes", True),))
-    >>> service.repeatable(found, "POST", "/quotes/7")
+    >>> service.is_repeatable(target, "POST", "/quotes/7")
     True
-    >>> service.repeatable(found, "POST", "/bookings")
+    >>> service.is_repeatable(target, "POST", "/bookings")
     False
     """
-    for route in found.routes:
-        if route.method in ("*", method) and _below(route.path_prefix, path):
+    for route in target.routes:
+        if route.method in ("*", method) and _is_under_prefix(
+            route.path_prefix, path
+        ):
             return route.repeatable
     return method in _SAFE_METHODS
 
 
-def _below(prefix: str, path: str) -> bool:
-    """Whether the path is the prefix or lies below it, by segments."""
+def _is_under_prefix(prefix: str, path: str) -> bool:
+    """Return whether the prefix's segments are the path's first ones."""
     return path == prefix or path.startswith(prefix.rstrip("/") + "/")
 
 
 def _check_path(path: str) -> None:
     # The service may resolve "/quotes/../bookings" to "/bookings", while
-    # the routes here took it for a quote that may be repeated: a booking
-    # would be made twice.  No client has reason to send such a path.
+    # the routes here match it as a repeatable quote, so that a booking
+    # could be made twice.  No client has a reason to send such a path.
     if not {".", ".."}.isdisjoint(path.split("/")):
         raise errors.RudderError(
             errors.Code.INVALID_REQUEST,
-            "the path has segments that are dots only",
+            "the path has . or .. segments",
             step=STEP,
         )
 
 
 async def read_call(exchange: exchanges.Exchange) -> ServiceCall:
-    """Read and check the caller's request."""
+    """Read and validate the caller's request."""
     http = exchange.http
-    found = find(exchange.document, http.match_info["name"])
+    target = find_service(exchange.document, http.match_info["name"])
     path = "/" + http.match_info["rest"]
     _check_path(path)
-    may_repeat = repeatable(found, http.method, path)
-    key = headers.single(http, headers.IDEMPOTENCY_KEY)
+    may_repeat = is_repeatable(target, http.method, path)
+    key = headers.single_value(http, headers.IDEMPOTENCY_KEY)
     if not may_repeat and key is None:
         raise errors.RudderError(
             errors.Code.IDEMPOTENCY_KEY_REQUIRED,
-            "this call may not be repeated; give it an Idempotency-Key",
+            "this call is not repeatable and requires an Idempotency-Key",
             step=STEP,
         )
-    raw = await bodies.read(
+    raw = await bodies.read_bounded(
         http,
-        found.max_body_bytes,
+        target.max_body_bytes,
         exchange.state.conf.router.body_timeout_s,
     )
     full_path = http.raw_path.split("/", 3)[3:]
     return ServiceCall(
-        found,
+        target,
         may_repeat,
         http.method,
         "/" + (full_path[0] if full_path else ""),
@@ -121,13 +123,13 @@
     )
 
 
-def choose(
+def choose_instance(
     exchange: exchanges.Exchange,
     call: ServiceCall,
     tried: frozenset[str],
     ran: errors.Ran,
 ) -> model.Upstream:
-    """Return the least busy instance of the service that was not tried."""
+    """Return the untried instance of the service with the fewest calls."""
     state = exchange.state
     now_s = state.now_s()
     usable = list(
@@ -145,7 +147,7 @@
     if not usable:
         raise errors.RudderError(
             errors.Code.NO_UPSTREAM,
-            "no instance of the service can take the call now",
+            "no instance of the service is available",
             step=STEP,
             peer=call.service.name,
             ran=ran,
@@ -153,63 +155,64 @@
         )
     state.rng.shuffle(usable)
     return min(
-        usable, key=lambda each: state.in_flight.request_count(each.name)
+        usable,
+        key=lambda upstream: state.in_flight.request_count(upstream.name),
     )
 
 
 @contextlib.asynccontextmanager
-async def opened(
+async def open_call(
     exchange: exchanges.Exchange,
     upstream: model.Upstream,
     call: ServiceCall,
 ) -> AsyncIterator[aiohttp.ClientResponse]:
-    """Make the call at one instance and yield its open answer.
+    """Send the call to one instance and yield its open response.
 
     Raises
     ------
     UpstreamFailure
-        No answer came.
+        No response was received.
     """
     state = exchange.state
-    passed = service.forwarded_headers(exchange.http.headers)
-    passed[headers.REQUEST_ID] = exchange.request_id
+    forwarded = service.forwarded_headers(exchange.http.headers)
+    forwarded[headers.REQUEST_ID] = exchange.request_id
     entry = in_flight.InFlightRequest("", 0)
     with state.in_flight.track(upstream.name, entry):
         async with state.services.call(
             upstream,
             call.method,
             call.path,
-            headers=passed,
+            headers=forwarded,
             body=call.body,
             timeout_s=call.service.timeout_s,
-        ) as answer:
-            yield answer
+        ) as response:
+            yield response
 
 
-async def relay(
+async def relay_call(
     exchange: exchanges.Exchange,
     upstream: model.Upstream,
     call: ServiceCall,
 ) -> web.StreamResponse:
-    """Make the call at one instance and stream its answer to the caller.
+    """Send the call to one instance and stream back its response.
 
     Raises
     ------
     UpstreamFailure
         Nothing has been sent to the caller.
     RudderError
-        ``stream_broken``; the connection to the caller is cut, which is
-        the only way to say in HTTP that a body is not whole.
+        ``stream_broken``; the connection to the caller is closed, which
+        is the only way in HTTP to mark a body as incomplete.
     """
-    async with opened(exchange, upstream, call) as answer:
-        return await _pass_on(exchange, upstream.name, answer)
+    async with open_call(exchange, upstream, call) as answer:
+        return await _relay_response(exchange, upstream.name, answer)
 
 
-async def _pass_on(
+async def _relay_response(
     exchange: exchanges.Exchange,
     peer: str,
     answer: aiohttp.ClientResponse,
-    read: bytes = b"",
+    already_read: bytes = b"",
 ) -> web.StreamResponse:
     response = web.StreamResponse(
         status=answer.status,
@@ -229,8 +232,8 @@
         )
 
     try:
-        if read:
-            await write(read)
+        if already_read:
+            await write(already_read)
         async for chunk in answer.content.iter_any():
             await write(chunk)
     except sinks.CallerGone:
@@ -239,49 +242,53 @@
         metrics.count_refusal(errors.Code.STREAM_BROKEN.value, STEP)
         if exchange.http.transport is not None:
             exchange.http.transport.abort()
-        raise sinks.CallerGone(f"{peer} broke off") from None
+        raise sinks.CallerGone(f"{peer} cut off its response") from None
     await response.write_eof()
     return response
 
 
 async def call_service(exchange: exchanges.Exchange) -> web.StreamResponse:
-    """Answer a call to a service."""
+    """Make a call to a service and return its response."""
     call = await read_call(exchange)
     if not call.repeatable:
-        return await _call_once(exchange, call)
+        return await _call_at_most_once(exchange, call)
 
     async def send(upstream: model.Upstream) -> web.StreamResponse:
-        return await relay(exchange, upstream, call)
+        return await relay_call(exchange, upstream, call)
 
-    return await _tried(exchange, call, send)
+    return await _send_with_retries(exchange, call, send)
 
 
-async def _call_once(
+async def _call_at_most_once(
     exchange: exchanges.Exchange, call: ServiceCall
 ) -> web.StreamResponse:
     async def send(claim: claims.Claim) -> deduplicate.Answer:
         async def send_to(upstream: model.Upstream) -> deduplicate.Answer:
-            return await _claimed(exchange, upstream, call, claim)
+            return await _send_claimed(exchange, upstream, call, claim)
 
-        return await _tried(exchange, call, send_to)
+        return await _send_with_retries(exchange, call, send_to)
 
     outcome = await deduplicate.run_once(
         exchange,
         call.idempotency_key,
-        deduplicate.digest(call.method, call.path, call.body),
+        deduplicate.call_digest(call.method, call.path, call.body),
         send,
     )
     if isinstance(outcome, claims.Result):
-        return deduplicate.replayed(exchange, outcome, again=True)
+        return deduplicate.response_from_result(
+            exchange, outcome, is_replay=True
+        )
     async with outcome.resources:
-        if outcome.rest is None:
-            return deduplicate.replayed(exchange, outcome.result, again=False)
-        return await _pass_on(
-            exchange, outcome.upstream, outcome.rest, outcome.result.body
+        if outcome.unread is None:
+            return deduplicate.response_from_result(
+                exchange, outcome.result, is_replay=False
+            )
+        return await _relay_response(
+            exchange, outcome.upstream, outcome.unread, outcome.result.body
         )
 
 
-async def _claimed(
+async def _send_claimed(
     exchange: exchanges.Exchange,
     upstream: model.Upstream,
     call: ServiceCall,
@@ -290,37 +297,37 @@
     claim.check(clock.now_s())
     async with contextlib.AsyncExitStack() as stack:
         try:
-            answer = await stack.enter_async_context(
-                opened(exchange, upstream, call)
+            response = await stack.enter_async_context(
+                open_call(exchange, upstream, call)
             )
         except failures.UpstreamFailure as failure:
             if failure.kind in failures.PROVES_NOT_RUN:
                 claim.mark_not_dispatched()
             raise
-        read = await deduplicate.read_answer(answer, upstream.name)
-        read.resources = stack.pop_all()
-        return read
+        answer = await deduplicate.read_answer(response, upstream.name)
+        answer.resources = stack.pop_all()
+        return answer
 
 
-async def _tried(
+async def _send_with_retries(
     exchange: exchanges.Exchange,
     call: ServiceCall,
     send: Callable[[model.Upstream], Awaitable[Any]],
 ) -> Any:
-    """Send to one instance after the other while that is safe."""
+    """Send to one instance after another while a retry is safe."""
     state = exchange.state
     state.budget(call.service.name).record_request(state.now_s())
     tried: set[str] = set()
     ran = errors.Ran.NOT_RUN
     while True:
-        upstream = choose(exchange, call, frozenset(tried), ran)
+        upstream = choose_instance(exchange, call, frozenset(tried), ran)
         tried.add(upstream.name)
         try:
             return await send(upstream)
         except failures.UpstreamFailure as failure:
             state.unreachable(failure)
-            # One try that may have run makes "not run" untrue for all
-            # that follow, also when those prove that they did not.
+            # Once a try may have run the call, "not run" is wrong even if
+            # later tries provably did not run it.
             if failure.kind not in failures.PROVES_NOT_RUN:
                 ran = errors.Ran.UNKNOWN
             _check_may_retry(exchange, call, failure, ran)
@@ -334,15 +341,15 @@
     ran: errors.Ran,
 ) -> None:
     state = exchange.state
-    proved = failure.kind in failures.PROVES_NOT_RUN
-    safe = proved or call.repeatable
-    if safe and state.budget(call.service.name).try_spend(state.now_s()):
+    not_run = failure.kind in failures.PROVES_NOT_RUN
+    is_safe = not_run or call.repeatable
+    if is_safe and state.budget(call.service.name).try_spend(state.now_s()):
         return
     raise errors.RudderError(
         errors.Code.UPSTREAM_NOT_REACHED
-        if proved
+        if not_run
         else errors.Code.UPSTREAM_FAILED,
-        "the service gave no answer",
+        "the service did not respond",
         step=STEP,
         peer=failure.upstream,
         ran=ran,
--- a/toucanrudder/filters/tests/test_bad_requests.py
+++ b/toucanrudder/filters/tests/test_bad_requests.py
@@ -16,7 +16,7 @@
 CHATS = "/v1/chat/completions"
 SMALL_BODY_BYTES = 10_000
 
-# What the body is, where it is sent, and the status and code that come.
+# Body, path, and the expected status and error code.
 BODIES = [
     (b"{", COMPLETIONS, 400, "malformed_json"),
     (b"\xff\xfe", COMPLETIONS, 400, "malformed_json"),
@@ -42,7 +42,7 @@
 
 AUTHORIZED = list(fleets.authorization().items())
 
-# The headers that are sent, and the status and code that come.
+# Request headers, and the expected status and error code.
 HEADERS = [
     ([], 401, "unauthorized"),
     ([("Authorization", "Bearer nobody")], 401, "unauthorized"),
@@ -77,22 +77,22 @@
 
 
 async def test_each_bad_request_gets_its_error_and_runs_nowhere():
-    """Callers send what they should not.  Each is told what was wrong, in
-    the API's shape, and that nothing ran; the engine indeed saw nothing,
-    and the next good request is answered.
+    """Each invalid request gets its error in the API's format, which says
+    that nothing ran.  The engine receives none of them, and the next valid
+    request is answered.
     """
     async with fleets.running(_plan()) as fleet:
         for body, path, status, code in BODIES:
             data = body if isinstance(body, bytes) else json.dumps(body)
-            found = await _refusal(fleet, path, data, AUTHORIZED)
-            assert (found[0], found[1]["code"]) == (status, code), body
-            assert found[1]["ran"] == "not_run"
+            refusal = await _refusal(fleet, path, data, AUTHORIZED)
+            assert (refusal[0], refusal[1]["code"]) == (status, code), body
+            assert refusal[1]["ran"] == "not_run"
         for headers, status, code in HEADERS:
-            found = await _refusal(
+            refusal = await _refusal(
                 fleet, COMPLETIONS, json.dumps(GOOD), headers
             )
-            assert (found[0], found[1]["code"]) == (status, code), headers
-            assert found[1]["ran"] == "not_run"
+            assert (refusal[0], refusal[1]["code"]) == (status, code), headers
+            assert refusal[1]["ran"] == "not_run"
         assert await fleet.runs() == []
         async with fleet.session.post(
             fleet.routers[0].url + COMPLETIONS, json=GOOD, headers=AUTHORIZED
@@ -100,24 +100,24 @@
             assert response.status == 200
 
 
-async def test_an_unknown_key_learns_nothing_about_others():
-    """A stranger tries models and services that exist and some that don't.
-    All answers are the same but for the request's identity.
+async def test_unknown_api_key_gets_identical_errors():
+    """An unknown API key must not reveal which models and services exist:
+    all errors are identical except for the request ID.
     """
     plan = fleets.Plan(services=1)
     async with fleets.running(plan) as fleet:
-        seen = set()
+        responses = set()
         for path in (COMPLETIONS, CHATS, "/services/desk/a", "/services/no/a"):
             status, error = await _refusal(
                 fleet, path, json.dumps(GOOD), {"Authorization": "Bearer x"}
             )
             error.pop("request_id")
-            seen.add((status, json.dumps(error, sort_keys=True)))
-        assert len(seen) == 1
+            responses.add((status, json.dumps(error, sort_keys=True)))
+        assert len(responses) == 1
 
 
 @pytest.mark.parametrize("stream", [False, True])
-async def test_the_openai_client_works_unchanged(stream):
+async def test_unmodified_openai_client_works(stream):
     async with fleets.running() as fleet:
         client = openai.AsyncOpenAI(
             api_key=fleets.api_key("acme"),
@@ -126,7 +126,7 @@
         )
         async with client:
             listed = await client.models.list()
-            assert [each.id for each in listed.data] == ["demo"]
+            assert [entry.id for entry in listed.data] == ["demo"]
             if stream:
                 text = ""
                 chunks = await client.chat.completions.create(
--- a/toucanrudder/filters/tests/test_service.py
+++ b/toucanrudder/filters/tests/test_service.py
@@ -6,7 +6,7 @@
 from toucanrudder.filters import service
 from toucanrudder.testing import fleet as fleets
 
-FOUND = model.Service(
+SERVICE = model.Service(
     "desk",
     (
         model.Route("POST", "/quotes", True),
@@ -29,18 +29,18 @@
         ("DELETE", "/open/a", True),
     ],
 )
-def test_first_matching_route_decides(method, path, expected):
-    assert service.repeatable(FOUND, method, path) is expected
+def test_first_matching_route_sets_repeatability(method, path, expected):
+    assert service.is_repeatable(SERVICE, method, path) is expected
 
 
 @pytest.mark.parametrize(
     "path",
     ["/quotes/../bookings", "/quotes/%2e%2e/bookings", "/quotes%2F..%2Fb"],
 )
-async def test_a_path_cannot_dress_a_booking_as_a_quote(path):
-    """The caller sends a path that the routes take for a quote, which may
-    be repeated, and that the service resolves to a booking.  It is refused,
-    without a key as with one, and the service sees nothing.
+async def test_path_with_dot_segments_is_refused(path):
+    """A path with dot segments matches a repeatable route here, but the
+    service would resolve it to a call that may not be repeated.  It is
+    refused, and the service receives nothing.
     """
     plan = fleets.Plan(
         services=1,
--- a/toucanrudder/router/application.py
+++ b/toucanrudder/router/application.py
@@ -17,9 +17,9 @@
 from toucanrudder.filters import identify
 from toucanrudder.filters import models
 from toucanrudder.filters import quarantine
+from toucanrudder.filters import rate_limit
 from toucanrudder.filters import resume
 from toucanrudder.filters import service
-from toucanrudder.filters import share
 from toucanrudder.router import state as states
 
 #: aiohttp's own bounds on a request's head.
@@ -31,12 +31,12 @@
     identify.identify,
     body.read_body,
     body.parse,
-    share.limit,
+    rate_limit.check_rate_limit,
     quarantine.quarantine,
     admit.admit,
 )
 PLAIN_FILTERS = (guard.guard, identify.identify)
-SERVICE_FILTERS = (guard.guard, identify.identify, share.limit)
+SERVICE_FILTERS = (guard.guard, identify.identify, rate_limit.check_rate_limit)
 
 
 def _handler(
@@ -44,7 +44,7 @@
 ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
     async def handler(request: web.Request) -> web.StreamResponse:
         try:
-            request_id = headers.single(request, headers.REQUEST_ID)
+            request_id = headers.single_value(request, headers.REQUEST_ID)
         except errors.RudderError as error:
             return guard.error_response(error, "")
         exchange = filters.Exchange(
@@ -73,7 +73,7 @@
     """
 
     def handler(chosen, last):
-        return _handler(state, chain.chain(chosen, last))
+        return _handler(state, chain.compose(chosen, last))
 
     async def healthy(request: web.Request) -> web.Response:
         return web.Response(text="ok\n")
