--- a/toucanrudder/http1/client.py
+++ b/toucanrudder/http1/client.py
@@ -92,7 +92,7 @@
     def connection_made(self, transport) -> None:
         """Keep the transport."""
         self._transport = transport
-        sockets.guard(transport)
+        sockets.enable_dead_peer_detection(transport)
 
     def data_received(self, data: bytes) -> None:
         """Read as many events as the bytes hold."""
--- a/toucanrudder/http1/message.py
+++ b/toucanrudder/http1/message.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers."""
+"""Heads of requests and responses."""
 
 from collections.abc import Iterable
 
@@ -6,7 +6,7 @@
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
-#: Fields that concern one connection only (RFC 9110, section 7.6.1).
+#: Header fields that apply to a single connection (RFC 9110, section 7.6.1).
 _HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -23,14 +23,14 @@
 
 @attrs.frozen
 class RequestHead:
-    """First part of a request.
+    """Request line and header fields of a request.
 
     Parameters
     ----------
     method, target : bytes
-        As they came; the target is never decoded or quoted again.
+        As received; the target is never decoded or re-quoted.
     headers : tuple of (bytes, bytes)
-        Names in the sender's spelling.
+        Names in the sender's letter case.
     """
 
     method: bytes
@@ -38,24 +38,24 @@
     headers: Headers = ()
 
     def get(self, name: bytes) -> bytes | None:
-        """Return the first value of a field, by its lower-case name."""
+        """Return the first value of the field with this lower-case name."""
         return first_value(self.headers, name)
 
 
 @attrs.frozen
 class AnswerHead:
-    """First part of an answer."""
+    """Status and header fields of a response."""
 
     status: int
     headers: Headers = ()
 
     def get(self, name: bytes) -> bytes | None:
-        """Return the first value of a field, by its lower-case name."""
+        """Return the first value of the field with this lower-case name."""
         return first_value(self.headers, name)
 
 
 def first_value(headers: Headers, name: bytes) -> bytes | None:
-    """Return the first value of a field, by its lower-case name.
+    """Return the first value of the field with this lower-case name.
 
     Examples
     --------
@@ -68,14 +68,14 @@
     return None
 
 
-def end_to_end(headers: Headers, without: Iterable[bytes] = ()) -> Headers:
-    """Return the fields that are passed on.
+def end_to_end(headers: Headers, excluded: Iterable[bytes] = ()) -> Headers:
+    """Return the header fields that a proxy passes on.
 
     Parameters
     ----------
     headers : tuple of (bytes, bytes)
-        What came.
-    without : iterable of bytes
+        Fields of the received message.
+    excluded : iterable of bytes
         Further lower-case names to leave out.
 
     Examples
@@ -83,18 +83,18 @@
     >>> end_to_end(((b"Connection", b"x-b"), (b"X-A", b"1"), (b"X-B", b"")))
     ((b'X-A', b'1'),)
     """
-    dropped = _HOP_BY_HOP.union(without)
-    named = first_value(headers, b"connection")
-    if named is not None:
+    dropped = _HOP_BY_HOP.union(excluded)
+    options = first_value(headers, b"connection")
+    if options is not None:
         dropped = dropped.union(
-            each.strip().lower() for each in named.split(b",")
+            option.strip().lower() for option in options.split(b",")
         )
     return tuple(
         (name, value) for name, value in headers if name.lower() not in dropped
     )
 
 
-def closes(headers: Headers) -> bool:
+def announces_close(headers: Headers) -> bool:
     """Whether the sender will close the connection after this message."""
     value = first_value(headers, b"connection")
     return value is not None and b"close" in value.lower()
--- a/toucanrudder/http1/pool.py
+++ b/toucanrudder/http1/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to upstreams."""
+"""Pool of idle connections to upstreams."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Collection
@@ -8,22 +8,22 @@
 from toucanrudder.http1 import client
 from toucanrudder.http1 import message
 
-#: Seconds for which a connection is kept when the upstream does not say:
-#: half of the shortest idle timeout that common servers ship with.
-KEEP_S = 2.0
+#: Seconds for which an idle connection is kept if the upstream announces no
+#: timeout: half of the shortest default idle timeout of common servers.
+DEFAULT_KEEP_S = 2.0
 
-#: Part of the idle timeout an upstream announces that is made use of.  A
-#: request that crosses the upstream's close cannot be proved not run.
-KEEP_SHARE = 0.75
+#: Fraction of the announced idle timeout for which a connection is kept.  If
+#: a request crosses the upstream's close, nothing proves that it did not run.
+IDLE_TIMEOUT_SHARE = 0.75
 
-#: Kept connections to one address.
-MAX_KEPT = 32
+#: Idle connections per address.
+MAX_IDLE_CONNECTIONS = 32
 
 _TIMEOUT = re.compile(rb"timeout=(\d+)")
 
 
 def keep_for_s(headers: message.Headers) -> float:
-    """Return for how long the connection may be kept idle.
+    """Return for how many seconds the connection may be kept idle.
 
     Examples
     --------
@@ -32,30 +32,32 @@
     >>> keep_for_s(((b"Connection", b"close"),))
     0.0
     """
-    if message.closes(headers):
+    if message.announces_close(headers):
         return 0.0
-    found = _TIMEOUT.search(message.first_value(headers, b"keep-alive") or b"")
-    return KEEP_SHARE * int(found[1]) if found else KEEP_S
+    timeout = _TIMEOUT.search(
+        message.first_value(headers, b"keep-alive") or b""
+    )
+    return IDLE_TIMEOUT_SHARE * int(timeout[1]) if timeout else DEFAULT_KEEP_S
 
 
 class ConnectionPool:
-    """Kept connections by address, last used first."""
+    """Idle connections by address; the most recently used is reused first."""
 
     def __init__(self):
-        self._kept: dict[str, list[client.UpstreamConnection]] = {}
+        self._idle: dict[str, list[client.UpstreamConnection]] = {}
         self.opened = 0
 
-    def _take(
+    def _take_idle(
         self,
         address: str,
         now_s: float,
         max_idle_s: float,
         excluded: Collection[client.UpstreamConnection],
     ) -> client.UpstreamConnection | None:
-        kept = self._kept.pop(address, [])
-        found, passed_over = None, []
-        while kept and found is None:
-            newest = kept.pop()
+        idle = self._idle.pop(address, [])
+        chosen, passed_over = None, []
+        while idle and chosen is None:
+            newest = idle.pop()
             idle_s = now_s - newest.idle_since_s
             limit_s = min(newest.keep_for_s or 0.0, max_idle_s)
             if not newest.usable or idle_s >= limit_s:
@@ -63,26 +65,26 @@
             elif newest in excluded:
                 passed_over.append(newest)
             else:
-                found = newest
-        kept.extend(reversed(passed_over))
-        if kept:
-            self._kept[address] = kept
-        return found
-
-    def _keep(self, connection: client.UpstreamConnection, now_s) -> None:
-        kept = self._kept.setdefault(connection.address, [])
-        if len(kept) >= MAX_KEPT:
+                chosen = newest
+        idle.extend(reversed(passed_over))
+        if idle:
+            self._idle[address] = idle
+        return chosen
+
+    def _put_back(self, connection: client.UpstreamConnection, now_s) -> None:
+        idle = self._idle.setdefault(connection.address, [])
+        if len(idle) >= MAX_IDLE_CONNECTIONS:
             connection.abort()
             return
         connection.idle_since_s = now_s
-        kept.append(connection)
+        idle.append(connection)
 
     def close(self) -> None:
-        """Close everything kept."""
-        for kept in self._kept.values():
-            for connection in kept:
+        """Close all idle connections."""
+        for idle in self._idle.values():
+            for connection in idle:
                 connection.abort()
-        self._kept.clear()
+        self._idle.clear()
 
     @contextlib.asynccontextmanager
     async def connection(
@@ -94,39 +96,40 @@
         max_idle_s: float = float("inf"),
         excluded: Collection[client.UpstreamConnection] = (),
     ) -> AsyncIterator[client.UpstreamConnection]:
-        """Lend a connection for one exchange.
+        """Provide a connection for one exchange, reused or new.
 
-        It is kept afterwards only if a whole answer was read from it and
-        nothing else came; in every other case it is closed at once.
+        Afterwards it returns to the pool only if a complete response and no
+        further bytes were read from it; otherwise it is closed at once.
 
         Parameters
         ----------
         address : str
             ``IP:port``.
         connect_timeout_s : float
-            Longest wait for a new connection.
+            Timeout for opening a new connection.
         clock : callable
             Monotonic time in seconds.
         max_idle_s : float
-            A connection that was idle for longer is not taken.
+            A connection that was idle for this long or longer is closed
+            instead of reused.
         excluded : collection of UpstreamConnection
-            These are not taken, and stay kept.
+            These are not reused, and stay in the pool.
 
         Raises
         ------
         ExchangeError
-            ``NOT_CONNECTED``.
+            ``NOT_CONNECTED``: no new connection could be opened.
         """
-        found = self._take(address, clock(), max_idle_s, excluded)
-        if found is None:
-            found = await client.connect(address, connect_timeout_s)
+        connection = self._take_idle(address, clock(), max_idle_s, excluded)
+        if connection is None:
+            connection = await client.connect(address, connect_timeout_s)
             self.opened += 1
-        whole = False
+        is_complete = False
         try:
-            yield found
-            whole = True
+            yield connection
+            is_complete = True
         finally:
-            if whole and found.keep_for_s and found.finish():
-                self._keep(found, clock())
+            if is_complete and connection.keep_for_s and connection.finish():
+                self._put_back(connection, clock())
             else:
-                found.abort()
+                connection.abort()
--- a/toucanrudder/http1/server.py
+++ b/toucanrudder/http1/server.py
@@ -223,7 +223,7 @@
     def connection_made(self, transport) -> None:
         """Keep the transport."""
         self._transport = transport
-        sockets.guard(transport)
+        sockets.enable_dead_peer_detection(transport)
         self._listener.connections.add(self)
         self._expect(self._limits.idle_timeout_s, self.abort)
 
--- a/toucanrudder/http1/sockets.py
+++ b/toucanrudder/http1/sockets.py
@@ -1,68 +1,66 @@
-"""Options that make a silent connection end, and an abandoned one end now."""
+"""Socket options for dead peer detection and for immediate aborts."""
 
 import contextlib
 import fcntl
 import socket
 import struct
 
-#: Idle seconds before the first keep-alive probe, seconds between probes
-#: and probes without an answer: a path that has gone silent is noticed
-#: within about three seconds, also while nobody sends.
-PROBE_AFTER_S = 1
-PROBE_EVERY_S = 1
-PROBES = 2
+#: Idle time before the first TCP keep-alive probe, interval between probes,
+#: and number of unanswered probes that end the connection.  A dead path is
+#: detected within about three seconds, even if neither side sends.
+KEEPALIVE_IDLE_S = 1
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 2
 
-#: Milliseconds that written bytes may stay unacknowledged: several
-#: retransmissions on a lossy link between zones, and a third of the time
-#: after which callers give a new connection up.
-UNACKNOWLEDGED_MS = 1_000
+#: Milliseconds that written bytes may stay unacknowledged.  Leaves room for
+#: several retransmissions on a lossy link between zones, and is a third of
+#: the connect timeout of callers.
+UNACKNOWLEDGED_TIMEOUT_MS = 1_000
 
-_OPTIONS = (
+_SOCKET_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS),
 )
 
-#: Linux: bytes that were written and not sent yet (SIOCOUTQNSD).
-_UNSENT_BYTES = 0x894B
+#: Linux ioctl that returns the number of unsent bytes.
+_SIOCOUTQNSD = 0x894B
 
-_RESET_AT_CLOSE = struct.pack("ii", 1, 0)
+_LINGER_RESET = struct.pack("ii", 1, 0)
 
 
-def guard(transport) -> None:
-    """Let the kernel end the connection when its path goes silent.
+def enable_dead_peer_detection(transport) -> None:
+    """Let the kernel end the connection when the peer is unreachable.
 
-    A partition or a host without power sends no reset.  Without probes
-    the connection looks open for many minutes, and whoever waits on it
-    waits as long.
+    A network partition or a host that lost power sends no reset.  Without
+    probes the connection looks open for many minutes, and a pending read
+    blocks for as long.  Also disables the Nagle algorithm.
     """
-    found = transport.get_extra_info("socket")
-    if found is None:
+    sock = transport.get_extra_info("socket")
+    if sock is None:
         return
-    for level, option, value in _OPTIONS:
-        # A socket that has closed meanwhile is told by the transport.
+    for level, option, value in _SOCKET_OPTIONS:
+        # The transport reports a socket that has closed in the meantime.
         with contextlib.suppress(OSError):
-            found.setsockopt(level, option, value)
+            sock.setsockopt(level, option, value)
 
 
 def drop_unsent(transport) -> None:
-    """Let a close drop what the kernel has not sent yet.
+    """Make a close discard the bytes that the kernel has not sent yet.
 
-    The kernel goes on sending after a close.  A peer whose window was full
-    would read the whole of a request that has been given up, and run it.
-    Where everything was sent an ordinary close is better: unlike a reset
-    it is sent again if it is lost.
+    The kernel goes on sending after a close, so a peer whose receive window
+    was full would read the whole of an abandoned request, and run it.  If
+    everything was sent, the ordinary close is kept: unlike a reset, it is
+    retransmitted if it is lost.
     """
-    found = transport.get_extra_info("socket")
-    if found is None or found.fileno() < 0:
+    sock = transport.get_extra_info("socket")
+    if sock is None or sock.fileno() < 0:
         return
-    # A socket that has closed meanwhile has nothing left to send.
+    # A socket that has closed in the meantime has nothing left to send.
     with contextlib.suppress(OSError):
-        unsent = fcntl.ioctl(found.fileno(), _UNSENT_BYTES, bytes(4))
+        unsent = fcntl.ioctl(sock.fileno(), _SIOCOUTQNSD, bytes(4))
         if any(unsent):
-            found.setsockopt(
-                socket.SOL_SOCKET, socket.SO_LINGER, _RESET_AT_CLOSE
-            )
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
--- a/toucanrudder/platform/tests/test_platform.py
+++ b/toucanrudder/platform/tests/test_platform.py
@@ -429,7 +429,7 @@
 
 def write_before_next_request(monkeypatch, router, upstream, data):
     """Write bytes to a kept connection when the pool hands it out."""
-    take = router.state.pool._take
+    take = router.state.pool._take_idle
 
     def take_and_write(*args):
         connection = take(*args)
@@ -437,7 +437,7 @@
             os.write(upstream.connections[0].fileno(), data)
         return connection
 
-    monkeypatch.setattr(router.state.pool, "_take", take_and_write)
+    monkeypatch.setattr(router.state.pool, "_take_idle", take_and_write)
 
 
 @pytest.mark.parametrize("is_early", (False, True), ids=("behind", "before"))
