--- a/toucanrudder/http1/calls.py
+++ b/toucanrudder/http1/calls.py
@@ -1,4 +1,4 @@
-"""Small calls whose whole answer is wanted, on kept connections."""
+"""Calls with small JSON bodies on pooled connections."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,32 +15,32 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Largest answer that is held: a page of a list is a megabyte at most.
+#: Largest response body that is buffered; a page of a list is at most 1 MB.
 MAX_ANSWER_BYTES = 8_388_608
 
 _JSON = (b"Content-Type", b"application/json")
 
 
 class Unreadable(ValueError):
-    """The answer is too large, or says nothing that can be parsed."""
+    """The response body is too large or cannot be parsed."""
 
 
-class Crossed(Unreadable):
-    """The answer is to something else that was asked."""
+class MismatchedAnswer(Unreadable):
+    """The response belongs to another request."""
 
 
 @attrs.frozen
 class Answer:
-    """A whole answer.
+    """A complete response.
 
     Parameters
     ----------
     status : int
-        Of HTTP.
+        HTTP status code.
     body : object
-        What was parsed from its body; an empty table for none.
+        Parsed JSON body; an empty dict if there was no body.
     headers : message.Headers
-        Its fields.
+        Header fields.
     """
 
     status: int
@@ -49,13 +49,18 @@
 
 
 def parse_json(content: bytes) -> object:
-    """Return what JSON says, also if it holds bytes that are no text.
+    """Parse JSON, leniently if it is not strictly valid.
 
-    Failure: one object of a list holds such bytes.  Symptom: a strict
-    parser refuses the whole list, on each try, and nothing in it is
-    followed any more.  Read leniently, that object alone holds characters
-    that no name has; all of it can be written as strict JSON again, for
-    peers that are told of it.
+    If one object of a list holds bytes that are not UTF-8, a strict parser
+    rejects the whole list on every attempt, and no change in it is seen any
+    more.  The lenient parser replaces these bytes by characters that occur
+    in no name, so only that object is affected.  The result can be encoded
+    as strict JSON again, for peers that receive it.
+
+    Raises
+    ------
+    Unreadable
+        The lenient parser fails too.
 
     Examples
     --------
@@ -67,42 +72,45 @@
     try:
         return orjson.loads(content)
     except ValueError:
-        LOG.info("an answer is no strict JSON")
-    # Rarely needed, so a start does not pay for it.
+        LOG.info("response body is not strict JSON; parsing it leniently")
+    # Imported here because it is rarely needed and would slow down startup.
     import json
 
     try:
-        found = json.loads(content.decode(errors="replace"), strict=False)
-        return _writable(found)
+        value = json.loads(content.decode(errors="replace"), strict=False)
+        return _to_strict_json(value)
     except (ValueError, RecursionError) as error:
         raise Unreadable(str(error)) from error
 
 
 @functools.singledispatch
-def _writable(value: object) -> object:
-    """Return a leniently read value as strict JSON can hold it."""
+def _to_strict_json(value: object) -> object:
+    """Convert a leniently parsed value to one that strict JSON can encode."""
     return value
 
 
-@_writable.register
+@_to_strict_json.register
 def _(value: str) -> str:
-    # Half of a surrogate pair can be escaped, but not encoded.
+    # JSON can escape a lone surrogate, but UTF-8 cannot encode it.
     return value.encode(errors="replace").decode()
 
 
-@_writable.register
+@_to_strict_json.register
 def _(value: int) -> int | float:
     return value if abs(value) < 2**63 else float("inf")
 
 
-@_writable.register
+@_to_strict_json.register
 def _(value: list) -> list:
-    return [_writable(each) for each in value]
+    return [_to_strict_json(item) for item in value]
 
 
-@_writable.register
+@_to_strict_json.register
 def _(value: dict) -> dict:
-    return {_writable(key): _writable(each) for key, each in value.items()}
+    return {
+        _to_strict_json(key): _to_strict_json(item)
+        for key, item in value.items()
+    }
 
 
 async def call(
@@ -118,32 +126,35 @@
     clock: Callable[[], float],
     foreign_header: bytes | None = None,
 ) -> Answer:
-    """Return the whole answer to one request.
+    """Send one request and return its complete response.
+
+    A ``GET`` whose response belongs to another request is sent once more.
 
     Parameters
     ----------
     connections : pool.ConnectionPool
-        Where a connection is taken from.
+        Pool that provides the connection.
     address : str
         ``IP:port``.
     method, path : bytes, str
-        What is asked.
+        Method and target of the request.
     body : object
-        Sent as JSON, unless it is None.
+        Value that is sent as JSON; None for no body.
     headers : message.Headers
-        Beside those that say what the body is.
+        Further header fields; ``Host`` and those that describe the body are
+        added.
     timeout_s, connect_timeout_s : float
-        For all, and for a new connection.
+        Timeout of the whole call, and of opening a new connection.
     clock : callable
         Monotonic time in seconds.
     foreign_header : bytes or None
-        Lower-case name of a field that is borne only by answers to what
-        shares the connections.
+        Lower-case name of a header field that only responses to other
+        users of the pooled connections carry.
 
     Raises
     ------
     ExchangeError, TimeoutError, Unreadable
-        There is no whole answer.
+        No complete, readable response was received.
     """
     content = b"" if body is None else orjson.dumps(body)
     sent_headers = [*headers, (b"Host", address.encode())]
@@ -151,8 +162,8 @@
         length = (b"Content-Length", str(len(content)).encode())
         sent_headers += [_JSON, length]
     head = message.RequestHead(method, path.encode(), tuple(sent_headers))
-    exchange = functools.partial(
-        _exchanged,
+    attempt = functools.partial(
+        _exchange,
         lambda: connections.connection(
             address,
             connect_timeout_s=min(connect_timeout_s, timeout_s),
@@ -164,36 +175,36 @@
     )
     async with asyncio.timeout(timeout_s):
         try:
-            return await exchange()
-        except Crossed:
+            return await attempt()
+        except MismatchedAnswer:
             if method != b"GET":
-                # What it asks for may be under way.
+                # The request may have been executed already.
                 raise
-            return await exchange()
+            return await attempt()
 
 
-async def _exchanged(
-    lent: Callable[
+async def _exchange(
+    open_connection: Callable[
         [], contextlib.AbstractAsyncContextManager[client.UpstreamConnection]
     ],
     head: message.RequestHead,
     content: bytes,
     foreign_header: bytes | None,
 ) -> Answer:
-    async with lent() as connection:
+    async with open_connection() as connection:
         connection.send(head, content)
         answer = await connection.next_event()
         if foreign_header is not None and answer.get(foreign_header):
-            raise Crossed("the answer is to something else")
+            raise MismatchedAnswer("the response belongs to another request")
         connection.keep_for_s = pool.keep_for_s(answer.headers)
-        received = await _received(connection)
+        received = await _read_body(connection)
     return Answer(answer.status, parse_json(received), answer.headers)
 
 
-async def _received(connection: client.UpstreamConnection) -> bytes:
+async def _read_body(connection: client.UpstreamConnection) -> bytes:
     received = bytearray()
     while not isinstance(event := await connection.next_event(), client.End):
         received += event.content
         if len(received) > MAX_ANSWER_BYTES:
-            raise Unreadable("the answer is too large")
+            raise Unreadable("the response body is too large")
     return bytes(received)
--- a/toucanrudder/http1/client.py
+++ b/toucanrudder/http1/client.py
@@ -1,4 +1,4 @@
-"""One connection to an upstream, and one exchange at a time on it."""
+"""Client connection to an upstream that carries one exchange at a time."""
 
 import asyncio
 import collections
@@ -12,15 +12,15 @@
 from toucanrudder.http1 import message
 from toucanrudder.http1 import sockets
 
-#: Bytes of an answer that are held for a slow reader.
+#: Body bytes that are buffered for a slow reader before reading pauses.
 MAX_BUFFERED_BYTES = 262_144
 
-#: Longest head of an answer.
+#: Longest head of a response.
 MAX_HEAD_BYTES = 65_536
 
 
 class Fault(enum.Enum):
-    """Why an exchange did not end with a whole answer."""
+    """Why an exchange did not end with a complete response."""
 
     NOT_CONNECTED = "not_connected"
     RESET = "reset"
@@ -35,11 +35,11 @@
     Parameters
     ----------
     fault : Fault
-        What happened.
+        Cause of the failure.
     sent : bool
-        Whether a byte of the request can have left this process.
+        Whether a byte of the request may have left this process.
     reused : bool
-        Whether the connection had served another request before.
+        Whether the connection carried another request before.
     """
 
     def __init__(self, fault: Fault, *, sent: bool, reused: bool = False):
@@ -51,18 +51,18 @@
 
 @attrs.frozen
 class Data:
-    """A piece of an answer's body."""
+    """A piece of a response body."""
 
     content: bytes
 
 
 @attrs.frozen
 class End:
-    """The answer is whole."""
+    """The response is complete."""
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """A connection that carries one exchange after the other.
+    """A connection that carries exchanges one after the other.
 
     Parameters
     ----------
@@ -85,73 +85,73 @@
         self._buffered = 0
         self._in_exchange = False
         self._sent = False
-        self._ended = False
+        self._response_ended = False
 
-    # What the transport calls.
+    # Callbacks of the transport.
 
     def connection_made(self, transport) -> None:
-        """Keep the transport."""
+        """Store the transport and set its socket options."""
         self._transport = transport
         sockets.enable_dead_peer_detection(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Read as many events as the bytes hold."""
-        if not self._in_exchange or self._ended:
-            # Bytes that no request asked for: a second answer, or rubbish
-            # behind a complete one.  Read on this connection later, they
-            # would be handed to another caller as his answer.
-            self._spoil(Fault.NOT_HTTP)
+        """Parse the received bytes into events."""
+        if not self._in_exchange or self._response_ended:
+            # Unsolicited bytes: a second response, or garbage after a
+            # complete one.  If the connection were reused, another caller
+            # would receive them as the response to its request.
+            self._fail(Fault.NOT_HTTP)
             return
         try:
             self._http.receive_data(data)
             self._read_events()
         except h11.RemoteProtocolError:
-            self._spoil(Fault.NOT_HTTP)
+            self._fail(Fault.NOT_HTTP)
 
     def eof_received(self) -> bool:
-        """End an answer that has no length, or fail the exchange."""
+        """Complete a response without a length, or fail the exchange."""
         if self._was_reset():
-            self._spoil(Fault.RESET)
+            self._fail(Fault.RESET)
             return False
-        if self._in_exchange and not self._ended:
+        if self._in_exchange and not self._response_ended:
             try:
                 self._http.receive_data(b"")
                 self._read_events()
             except h11.RemoteProtocolError:
                 pass
-        self._spoil(Fault.CLOSED)
+        self._fail(Fault.CLOSED)
         return False
 
     def _was_reset(self) -> bool:
-        """Whether the end that was reported is a reset.
+        """Whether the reported end of the stream is a reset.
 
-        When data and a reset are there at once, libuv hands out the data
-        and reports an ordinary end.  A body without a length would look
-        whole then; the socket still holds the error.
+        If data and a reset arrive together, libuv delivers the data and
+        reports an ordinary end of the stream.  A truncated body without a
+        length would then look complete; the socket still holds the error.
         """
-        found = self._transport.get_extra_info("socket")
-        if found is None:
+        sock = self._transport.get_extra_info("socket")
+        if sock is None:
             return False
-        return bool(found.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
+        return bool(sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
 
     def connection_lost(self, error) -> None:
-        """Fail the exchange under way."""
-        self._spoil(Fault.RESET)
+        """Fail the current exchange."""
+        self._fail(Fault.RESET)
 
     def _read_events(self) -> None:
-        while not self._ended:
+        while not self._response_ended:
             event = self._http.next_event()
             if event in (h11.NEED_DATA, h11.PAUSED):
                 return
             if isinstance(event, h11.InformationalResponse):
                 continue
             if isinstance(event, h11.ConnectionClosed):
-                self._spoil(Fault.CLOSED)
+                self._fail(Fault.CLOSED)
                 return
-            self._events.append(self._translated(event))
-            self._wake()
+            self._events.append(self._convert_event(event))
+            self._wake_reader()
 
-    def _translated(self, event):
+    def _convert_event(self, event):
         if isinstance(event, h11.Response):
             return message.AnswerHead(
                 event.status_code, tuple(event.headers.raw_items())
@@ -162,24 +162,24 @@
             if self._buffered > MAX_BUFFERED_BYTES:
                 self._transport.pause_reading()
             return Data(content)
-        self._ended = True
+        self._response_ended = True
         return End()
 
-    def _spoil(self, fault: Fault) -> None:
+    def _fail(self, fault: Fault) -> None:
         if self._fault is None:
             self._fault = fault
         self.abort()
-        self._wake()
+        self._wake_reader()
 
-    def _wake(self) -> None:
+    def _wake_reader(self) -> None:
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
-    # What an exchange calls.
+    # Interface for exchanges.
 
     @property
     def usable(self) -> bool:
-        """Whether another request may be sent on it."""
+        """Whether another request can be sent on this connection."""
         return (
             self._fault is None
             and not self._in_exchange
@@ -189,7 +189,7 @@
 
     @property
     def sent(self) -> bool:
-        """Whether a byte of the present request can have left."""
+        """Whether a byte of the current request may have been sent."""
         return self._sent
 
     @property
@@ -199,20 +199,20 @@
 
     @property
     def reused(self) -> bool:
-        """Whether it carried another request before the present one."""
+        """Whether it carried another request before the current one."""
         return self.uses > 1
 
     def error(self, fault: Fault) -> ExchangeError:
-        """Return the exception for a fault of the present exchange."""
+        """Return the exception for a fault of the current exchange."""
         return ExchangeError(fault, sent=self._sent, reused=self.reused)
 
     def send(self, head: message.RequestHead, body: bytes) -> None:
-        """Send a whole request; its length must stand in the head.
+        """Send a complete request; the head must state the body length.
 
         Raises
         ------
         ExchangeError
-            The connection has ended already; nothing was sent.
+            The connection cannot be used any more; nothing was sent.
         """
         self._sent = False
         self.uses += 1
@@ -231,12 +231,12 @@
         self._transport.write(data)
 
     async def next_event(self) -> message.AnswerHead | Data | End:
-        """Return the next part of the answer.
+        """Return the next part of the response.
 
         Raises
         ------
         ExchangeError
-            The answer broke off.
+            The connection failed before the response was complete.
         """
         while not self._events:
             if self._fault is not None:
@@ -248,18 +248,18 @@
                 self._waiter = None
         event = self._events.popleft()
         if isinstance(event, Data):
-            self._drained(len(event.content))
+            self._release_buffered(len(event.content))
         return event
 
-    def _drained(self, length: int) -> None:
+    def _release_buffered(self, length: int) -> None:
         before, self._buffered = self._buffered, self._buffered - length
         if before > MAX_BUFFERED_BYTES >= self._buffered:
             with contextlib.suppress(RuntimeError):
                 self._transport.resume_reading()
 
     def finish(self) -> bool:
-        """End a whole exchange; say whether the connection can be kept."""
-        if not self._ended or self._fault is not None:
+        """End an exchange; return whether the connection can be reused."""
+        if not self._response_ended or self._fault is not None:
             self.abort()
             return False
         try:
@@ -270,25 +270,25 @@
         if self._http.trailing_data[0]:
             self.abort()
             return False
-        self._in_exchange = self._ended = False
+        self._in_exchange = self._response_ended = False
         return True
 
     def abort(self) -> None:
-        """Close at once; the upstream notices and stops its work."""
+        """Close at once, so that the upstream stops processing the request."""
         if self._transport is not None:
             sockets.drop_unsent(self._transport)
             self._transport.abort()
 
 
 async def connect(address: str, timeout_s: float) -> UpstreamConnection:
-    """Open a connection.
+    """Open a connection to an upstream.
 
     Parameters
     ----------
     address : str
         ``IP:port``.
     timeout_s : float
-        Longest wait.
+        Connect timeout.
 
     Raises
     ------
--- a/toucanrudder/http1/tests/test_calls.py
+++ b/toucanrudder/http1/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Answers that are no strict JSON, and what may be done with them."""
+"""Tests of lenient JSON parsing and of retries after a mismatched answer."""
 
 import asyncio
 
@@ -10,21 +10,23 @@
 from toucanrudder.http1 import calls
 from toucanrudder.http1 import pool
 
-ODD = {
-    "half of a pair": b'{"a": "\\ud800"}',
-    "half of a pair in a name": b'{"\\udfff": 1}',
-    "a number beyond 64 bits": b'[1180591620717411303424, "\xff"]',
-    "no number": b'{"a": [NaN, Infinity]}',
-    "bytes that are no text": b'["\xff\xfe"]',
-    "a line break in a text": b'["a\nb"]',
+NOT_STRICT_JSON = {
+    "lone surrogate": b'{"a": "\\ud800"}',
+    "lone surrogate in a key": b'{"\\udfff": 1}',
+    "integer beyond 64 bits": b'[1180591620717411303424, "\xff"]',
+    "NaN and infinity": b'{"a": [NaN, Infinity]}',
+    "invalid UTF-8": b'["\xff\xfe"]',
+    "line break in a string": b'["a\nb"]',
 }
 
 
-@pytest.mark.parametrize("content", ODD.values(), ids=ODD.keys())
-def test_what_is_read_leniently_can_be_told_to_peers(content):
-    # Another writer's entry holds what the strict parser refuses.  Routers
-    # that read the registry for others write it as strict JSON again: if
-    # that failed, none of their followers would hear of any change.
+@pytest.mark.parametrize(
+    "content", NOT_STRICT_JSON.values(), ids=NOT_STRICT_JSON.keys()
+)
+def test_leniently_parsed_json_can_be_encoded_for_peers(content):
+    # An entry of another writer holds what the strict parser rejects.
+    # Routers that read the registry for others encode it as strict JSON
+    # again: if that failed, none of their followers would see any change.
     orjson.dumps(calls.parse_json(content))
 
 
@@ -35,19 +37,21 @@
         max_size=24,
     )
 )
-def test_whatever_is_read_can_be_written(text):
+def test_any_parsed_value_can_be_encoded(text):
     try:
-        found = calls.parse_json(text.encode())
+        value = calls.parse_json(text.encode())
     except calls.Unreadable:
         return
-    orjson.dumps(found)
+    orjson.dumps(value)
 
 
-@pytest.mark.parametrize(("method", "asked"), ((b"GET", 2), (b"POST", 1)))
-async def test_only_a_question_is_repeated_after_anothers_answer(
-    method, asked
+@pytest.mark.parametrize(
+    ("method", "expected_requests"), ((b"GET", 2), (b"POST", 1))
+)
+async def test_only_get_is_retried_after_a_mismatched_answer(
+    method, expected_requests
 ):
-    # An order that was sent twice may be carried out twice.
+    # Any other request that is sent twice may be executed twice.
     heads = []
 
     async def serve(reader, writer):
@@ -72,10 +76,10 @@
         clock=asyncio.get_running_loop().time,
         foreign_header=b"x-named",
     )
-    if asked == 1:
-        with pytest.raises(calls.Crossed):
+    if expected_requests == 1:
+        with pytest.raises(calls.MismatchedAnswer):
             await call
     else:
         assert (await call).status == 200
-    assert len(heads) == asked
+    assert len(heads) == expected_requests
     server.close()
--- a/toucanrudder/http1/tests/test_client.py
+++ b/toucanrudder/http1/tests/test_client.py
@@ -1,4 +1,4 @@
-"""What upstreams send, and what may be concluded from it."""
+"""Tests of the upstream connection and of the connection pool."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
 
 
 class Upstream:
-    """Answers each request with the next of its scripted answers."""
+    """Server that answers each request with the next scripted response."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -35,7 +35,7 @@
         writer.close()
 
 
-def sends(data):
+def responds(data):
     async def answer(writer):
         writer.write(data)
         await writer.drain()
@@ -43,16 +43,16 @@
     return answer
 
 
-def ends(data, *, reset=False):
+def responds_and_closes(data, *, reset=False):
     async def answer(writer):
         writer.write(data)
         await writer.drain()
         if reset:
-            found = writer.get_extra_info("socket")
-            found.setsockopt(
+            sock = writer.get_extra_info("socket")
+            sock.setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
             )
-            # What was written must arrive before the reset.
+            # The written bytes must arrive before the reset.
             await asyncio.sleep(0.05)
         writer.close()
         raise ConnectionError
@@ -61,7 +61,7 @@
 
 
 @contextlib.asynccontextmanager
-async def running(*answers):
+async def running_upstream(*answers):
     upstream = Upstream(*answers)
     server = await asyncio.start_server(upstream.serve, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
@@ -72,7 +72,7 @@
         server.close()
 
 
-async def exchanged(connection):
+async def exchange(connection):
     connection.send(HEAD, b"")
     head = await connection.next_event()
     body = b""
@@ -82,21 +82,31 @@
 
 
 BROKEN = {
-    "reset before the answer": (ends(b"", reset=True), client.Fault.RESET),
-    "closed before the answer": (ends(b""), client.Fault.CLOSED),
+    "reset before the answer": (
+        responds_and_closes(b"", reset=True),
+        client.Fault.RESET,
+    ),
+    "closed before the answer": (
+        responds_and_closes(b""),
+        client.Fault.CLOSED,
+    ),
     "closed in a body with a length": (
-        ends(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc"),
+        responds_and_closes(
+            b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc"
+        ),
         client.Fault.CLOSED,
     ),
     "closed in a chunk": (
-        ends(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabc"),
+        responds_and_closes(
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabc"
+        ),
         client.Fault.CLOSED,
     ),
     "reset in a body without a length": (
-        ends(b"HTTP/1.1 200 OK\r\n\r\nabc", reset=True),
+        responds_and_closes(b"HTTP/1.1 200 OK\r\n\r\nabc", reset=True),
         client.Fault.RESET,
     ),
-    "no HTTP at all": (sends(b"\x00\xff\r\n\r\n"), client.Fault.NOT_HTTP),
+    "not HTTP": (responds(b"\x00\xff\r\n\r\n"), client.Fault.NOT_HTTP),
 }
 
 
@@ -104,19 +114,19 @@
     ("answer", "fault"), BROKEN.values(), ids=BROKEN.keys()
 )
 async def test_broken_answers_never_look_whole(answer, fault):
-    async with running(answer) as upstream:
+    async with running_upstream(answer) as upstream:
         connection = await client.connect(upstream.address, 5)
         with pytest.raises(client.ExchangeError) as caught:
-            await exchanged(connection)
+            await exchange(connection)
         assert caught.value.fault is fault
         assert caught.value.sent
 
 
 async def test_a_body_without_length_ends_with_its_connection():
-    answer = ends(b"HTTP/1.1 200 OK\r\n\r\nabc")
-    async with running(answer) as upstream:
+    answer = responds_and_closes(b"HTTP/1.1 200 OK\r\n\r\nabc")
+    async with running_upstream(answer) as upstream:
         connection = await client.connect(upstream.address, 5)
-        _, body = await exchanged(connection)
+        _, body = await exchange(connection)
         assert body == b"abc"
         assert not connection.finish()
 
@@ -130,7 +140,7 @@
     assert not caught.value.sent
 
 
-def lent(connections, upstream, **fields):
+def open_connection(connections, upstream, **fields):
     return connections.connection(
         upstream.address,
         connect_timeout_s=5,
@@ -139,43 +149,47 @@
     )
 
 
-async def served(connections, upstream):
-    async with lent(connections, upstream) as connection:
-        head, body = await exchanged(connection)
+async def exchange_on(connections, upstream):
+    async with open_connection(connections, upstream) as connection:
+        head, body = await exchange(connection)
         connection.keep_for_s = pool.keep_for_s(head.headers)
     return body
 
 
-async def test_connections_are_used_again():
+async def test_connections_are_reused():
     connections = pool.ConnectionPool()
-    async with running(sends(WHOLE), sends(WHOLE)) as upstream:
+    async with running_upstream(responds(WHOLE), responds(WHOLE)) as upstream:
         for _ in range(2):
-            assert await served(connections, upstream) == b"ok"
+            assert await exchange_on(connections, upstream) == b"ok"
         assert upstream.connections == 1
         connections.close()
 
 
-async def test_a_connection_that_is_passed_over_stays_kept():
-    # Dropped, each second try would cost a connection; taken, it would
-    # carry the same request twice.
+async def test_an_excluded_connection_stays_in_the_pool():
+    # If it were dropped, each second attempt would cost a connection; if it
+    # were reused, it would carry the same request twice.
     connections = pool.ConnectionPool()
-    async with running(*[sends(WHOLE)] * 3) as upstream:
-        async with lent(connections, upstream) as first:
-            head, _ = await exchanged(first)
+    async with running_upstream(*[responds(WHOLE)] * 3) as upstream:
+        async with open_connection(connections, upstream) as first:
+            head, _ = await exchange(first)
             first.keep_for_s = pool.keep_for_s(head.headers)
-        async with lent(connections, upstream, excluded=[first]) as second:
-            head, _ = await exchanged(second)
+        async with open_connection(
+            connections, upstream, excluded=[first]
+        ) as second:
+            head, _ = await exchange(second)
             second.keep_for_s = pool.keep_for_s(head.headers)
         assert second is not first
-        async with lent(connections, upstream, excluded=[second]) as third:
-            await exchanged(third)
+        async with open_connection(
+            connections, upstream, excluded=[second]
+        ) as third:
+            await exchange(third)
         assert third is first
         connections.close()
 
 
 NOT_KEPT = {
     "a second answer": WHOLE + WHOLE,
-    "rubbish behind the answer": WHOLE + b"rubbish",
+    "garbage after the answer": WHOLE + b"rubbish",
     "an announced close": b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
     b"Connection: close\r\n\r\nok",
 }
@@ -183,19 +197,19 @@
 
 @pytest.mark.parametrize("data", NOT_KEPT.values(), ids=NOT_KEPT.keys())
 async def test_spoilt_connections_are_not_used_again(data):
-    # A faulty upstream sends more than one answer.  Kept, the connection
-    # would hand the rest to the next caller as his answer.
+    # A faulty upstream sends more than one response.  If the connection were
+    # reused, the next caller would receive the rest as its response.
     connections = pool.ConnectionPool()
-    async with running(sends(data), sends(WHOLE)) as upstream:
-        assert await served(connections, upstream) == b"ok"
-        assert await served(connections, upstream) == b"ok"
+    async with running_upstream(responds(data), responds(WHOLE)) as upstream:
+        assert await exchange_on(connections, upstream) == b"ok"
+        assert await exchange_on(connections, upstream) == b"ok"
         assert upstream.connections == 2
         connections.close()
 
 
 async def test_a_late_answer_spoils_an_idle_connection():
-    # An extra answer comes after the connection was put away.  It must be
-    # closed then; the next request would read it as its own answer.
+    # An extra response arrives while the connection is idle in the pool.  The
+    # connection must be closed, or the next request would read that response.
     late = asyncio.Event()
 
     async def answer(writer):
@@ -204,22 +218,22 @@
         writer.write(WHOLE)
 
     connections = pool.ConnectionPool()
-    async with running(answer, sends(WHOLE)) as upstream:
-        async with lent(connections, upstream) as connection:
-            head, _ = await exchanged(connection)
+    async with running_upstream(answer, responds(WHOLE)) as upstream:
+        async with open_connection(connections, upstream) as connection:
+            head, _ = await exchange(connection)
             connection.keep_for_s = pool.keep_for_s(head.headers)
         late.set()
         async with asyncio.timeout(5):
             while connection.usable:
                 await asyncio.sleep(0.01)
-        assert await served(connections, upstream) == b"ok"
+        assert await exchange_on(connections, upstream) == b"ok"
         assert upstream.connections == 2
         connections.close()
 
 
 async def test_an_unfinished_exchange_closes_its_connection():
-    # A caller leaves while his answer is being read.  The upstream must
-    # see its connection close, or it would work on for nobody.
+    # A caller disconnects while its response is being read.  The upstream
+    # must see its connection close, or it would go on working for no one.
     closed = asyncio.Event()
 
     async def answer(writer):
@@ -228,48 +242,48 @@
             await writer.wait_closed()
         closed.set()
 
-    async with running(answer) as upstream:
+    async with running_upstream(answer) as upstream:
         connections = pool.ConnectionPool()
         with contextlib.suppress(RuntimeError):
-            async with lent(connections, upstream) as connection:
+            async with open_connection(connections, upstream) as connection:
                 connection.send(HEAD, b"")
                 await connection.next_event()
                 raise RuntimeError
         assert not connection.usable
 
 
-def ended(found):
-    found.shutdown(socket.SHUT_WR)
+def shut_down_writing(sock):
+    sock.shutdown(socket.SHUT_WR)
 
 
-def reset(found):
-    found.setsockopt(
+def reset(sock):
+    sock.setsockopt(
         socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
     )
-    found.close()
+    sock.close()
 
 
-async def seen(connection):
+async def wait_until_unusable(connection):
     while connection.usable:
         await asyncio.sleep(0.001)
 
 
-async def unseen(connection):
+async def do_not_wait(connection):
     """Leave the end unread in the kernel."""
 
 
-async def let_go(connection):
+async def abort(connection):
     connection.abort()
 
 
-#: What ends the connection, how the client learns of it before it sends,
-#: and whether bytes of the request can have left.
-ENDS_BEFORE = {
-    "end seen": (ended, seen, False),
-    "reset seen": (reset, seen, False),
-    "own abort": (ended, let_go, False),
-    "end not seen": (ended, unseen, True),
-    "reset not seen": (reset, unseen, True),
+#: How the connection ends, what the client does before it sends, and whether
+#: bytes of the request may have been sent.
+ENDS_BEFORE_SEND = {
+    "end detected": (shut_down_writing, wait_until_unusable, False),
+    "reset detected": (reset, wait_until_unusable, False),
+    "own abort": (shut_down_writing, abort, False),
+    "end not detected": (shut_down_writing, do_not_wait, True),
+    "reset not detected": (reset, do_not_wait, True),
 }
 
 
@@ -279,13 +293,15 @@
     ids=("asyncio", "uvloop"),
 )
 @pytest.mark.parametrize(
-    ("end", "learned", "sent"), ENDS_BEFORE.values(), ids=ENDS_BEFORE.keys()
+    ("end", "before_send", "sent"),
+    ENDS_BEFORE_SEND.values(),
+    ids=ENDS_BEFORE_SEND.keys(),
 )
-def test_not_sent_is_said_only_if_no_byte_left(
-    loop_factory, end, learned, sent
+def test_sent_is_false_only_if_no_byte_left(
+    loop_factory, end, before_send, sent
 ):
-    # What has not been sent is sent again, also if it may run once.
-    async def fault_and_bytes():
+    # A request that was not sent is retried, even if it may run only once.
+    async def error_and_received_bytes():
         with socket.create_server(("127.0.0.1", 0)) as listener:
             host, port = listener.getsockname()
             connection = await client.connect(f"{host}:{port}", 5)
@@ -293,17 +309,17 @@
             with accepted:
                 end(accepted)
                 async with asyncio.timeout(5):
-                    await learned(connection)
+                    await before_send(connection)
                     with pytest.raises(client.ExchangeError) as caught:
-                        await exchanged(connection)
+                        await exchange(connection)
                 await asyncio.sleep(0.05)
-                left = accepted.fileno() >= 0 and accepted.recv(4096)
-            return caught.value, left
+                received = accepted.fileno() >= 0 and accepted.recv(4096)
+            return caught.value, received
 
     with asyncio.Runner(loop_factory=loop_factory) as runner:
-        error, left = runner.run(fault_and_bytes())
+        error, received = runner.run(error_and_received_bytes())
     assert error.sent is sent
-    assert sent or not left
+    assert sent or not received
 
 
 @pytest.mark.parametrize(
@@ -317,10 +333,10 @@
             b"three",
         ),
     ),
-    ids=("bad field", "body longer than told"),
+    ids=("bad field", "body longer than announced"),
 )
-async def test_a_request_that_cannot_be_written_leaves_no_byte(head, body):
-    # Half of it would be a request of its own at the upstream.
+async def test_no_byte_of_an_unserialisable_request_is_sent(head, body):
+    # The upstream would read a partial request as a request of its own.
     received = asyncio.get_running_loop().create_future()
 
     async def serve(reader, writer):
@@ -344,25 +360,25 @@
 
 
 def test_a_reset_that_comes_with_the_data_is_no_end():
-    # An upstream sends part of a body without length and resets.  The
-    # event loop is busy, so data and reset are there at once; libuv then
-    # reports the data and an ordinary end.  Taken for whole, a short body
-    # would go to the caller as a complete answer.
+    # An upstream sends part of a body without a length and resets.  The event
+    # loop is busy, so it finds data and reset together; libuv then reports
+    # the data and an ordinary end of the stream.  The caller must not receive
+    # the truncated body as a complete response.
     def reset_after_data(listener):
-        found, _ = listener.accept()
-        found.recv(4096)
-        found.sendall(b"HTTP/1.1 200 OK\r\n\r\nabc")
-        found.setsockopt(
+        accepted, _ = listener.accept()
+        accepted.recv(4096)
+        accepted.sendall(b"HTTP/1.1 200 OK\r\n\r\nabc")
+        accepted.setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
         )
-        found.close()
+        accepted.close()
 
-    async def short_answer():
+    async def fault_of_truncated_answer():
         with socket.create_server(("127.0.0.1", 0)) as listener:
             host, port = listener.getsockname()
             connection = await client.connect(f"{host}:{port}", 5)
             connection.send(HEAD, b"")
-            # Lets the request leave, then blocks the loop.
+            # Sends the request, then blocks the event loop.
             await asyncio.sleep(0)
             upstream = threading.Thread(
                 target=reset_after_data, args=(listener,)
@@ -376,14 +392,14 @@
             return caught.value.fault
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        assert runner.run(short_answer()) is client.Fault.RESET
+        assert runner.run(fault_of_truncated_answer()) is client.Fault.RESET
 
 
 @pytest.mark.parametrize(
     "loop_factory", [uvloop.new_event_loop, asyncio.new_event_loop]
 )
 def test_an_abandoned_request_is_never_read_whole(loop_factory):
-    # An upstream reads nothing, so its window is full when we give up.
+    # The upstream reads nothing, so its receive window is full at the abort.
     body = b"x" * 1_000_000
     head = message.RequestHead(
         b"POST",
@@ -407,9 +423,9 @@
 
 
 def _read_until_end(upstream):
-    found = b""
+    received = b""
     with upstream, contextlib.suppress(ConnectionResetError):
         upstream.settimeout(5)
         while data := upstream.recv(65_536):
-            found += data
-    return found
+            received += data
+    return received
