--- a/toucanrudder/http1/server.py
+++ b/toucanrudder/http1/server.py
@@ -1,4 +1,4 @@
-"""Callers' connections: strict parsing, bounded memory, early leaving."""
+"""HTTP/1.1 server: strict parsing, bounded memory, prompt cancellation."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -15,12 +15,12 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Bytes that a caller may send ahead while its request is answered.
-MAX_AHEAD_BYTES = 65_536
+#: Bytes that a caller may pipeline while its current request is processed.
+MAX_PIPELINED_BYTES = 65_536
 
-#: Seconds that written bytes may wait for a slow reader before the
-#: connection is cut: as long as the slowest caller needs for one event on
-#: a link that retransmits, well below the time at which memory fills up.
+#: Seconds that written bytes may wait for a slow reader before the connection
+#: is aborted: as long as the slowest caller needs for one event on a link with
+#: retransmissions, and well below the time in which memory would fill up.
 WRITE_TIMEOUT_S = 10.0
 
 _SERVER_STATES_DONE = (h11.DONE, h11.MUST_CLOSE)
@@ -28,16 +28,16 @@
 
 @attrs.frozen
 class Limits:
-    """What a caller may send, and how long it may take.
+    """Limits on the size and duration of requests.
 
     Parameters
     ----------
     max_head_bytes, max_body_bytes : int
-        Sizes.
+        Largest head and largest body.
     head_timeout_s : float
-        From a request's first byte to the end of its head.
+        Timeout from the first byte of a request to the end of its head.
     idle_timeout_s : float
-        Between two requests, and between two pieces of a body.
+        Timeout between two requests, and between two pieces of a body.
     """
 
     max_head_bytes: int = 16_384
@@ -47,7 +47,7 @@
 
 
 class Refusal(enum.Enum):
-    """Why a request was refused before anything else looked at it."""
+    """Reason why a request was refused before it reached the handler."""
 
     MALFORMED = ("malformed_request", 400)
     HEAD_TOO_LARGE = ("head_too_large", 431)
@@ -57,31 +57,31 @@
 
     @property
     def code(self) -> str:
-        """Code for callers and counters."""
+        """Error code for callers and metrics."""
         return self.value[0]
 
     @property
     def status(self) -> int:
-        """Status of the answer."""
+        """HTTP status of the response."""
         return self.value[1]
 
 
 class CallerGone(Exception):
-    """Nobody takes the answer any more."""
+    """The caller has disconnected or reads too slowly."""
 
 
 @attrs.frozen
 class Request:
-    """A whole request.
+    """A complete request.
 
     Parameters
     ----------
     head : message.RequestHead
-        Its first part.
+        Request line and header fields.
     body : bytes
-        Its body, without any framing.
+        Body without transfer coding.
     began_s : float
-        Monotonic time of its first byte.
+        Monotonic time in seconds at which the first byte arrived.
     """
 
     head: message.RequestHead
@@ -91,22 +91,22 @@
 
 @attrs.frozen
 class Hooks:
-    """What a listener needs from its owner.
+    """Callbacks of a listener.
 
     Parameters
     ----------
     handle : callable
-        Answers one request by the answer it is given.
+        Answers a request by means of the given `Answer`.
     limits : callable
-        Returns the limits in force.
+        Returns the current limits.
     closing : callable
-        Whether connections are to be closed after their answer.
+        Returns whether connections are to be closed after their response.
     refusal_body : callable
-        Returns the body for a refusal.
+        Returns the response body for a refusal.
     refused : callable
-        Told of each refusal.
+        Called with each refusal.
     clock : callable
-        Monotonic time in seconds.
+        Returns the monotonic time in seconds.
     """
 
     handle: Callable[[Request, "Answer"], Awaitable[None]]
@@ -118,12 +118,12 @@
 
 
 class Answer:
-    """Writes the answer to one request.
+    """Writer of the response to one request.
 
     Parameters
     ----------
     connection : CallerConnection
-        Where it goes.
+        Connection that the response is written to.
     """
 
     def __init__(self, connection: "CallerConnection"):
@@ -132,12 +132,12 @@
         self.ended = False
 
     async def start(self, status: int, headers: message.Headers) -> None:
-        """Send the head; without a length the body goes in chunks."""
+        """Send the head; without a length the body is sent in chunks."""
         self.started = True
         await self._connection.write(
             h11.Response(
                 status_code=status,
-                headers=self._connection.framed(headers),
+                headers=self._connection.with_connection_fields(headers),
             )
         )
 
@@ -147,25 +147,27 @@
         Raises
         ------
         CallerGone
-            The caller has closed, or reads too slowly.
+            The caller has disconnected, or reads too slowly.
         """
         await self._connection.write(h11.Data(data=content))
 
     async def end(self) -> None:
-        """Say that the answer is whole."""
+        """Complete the response."""
         await self._connection.write(h11.EndOfMessage())
         self.ended = True
 
     async def send_whole(
         self, status: int, headers: message.Headers, body: bytes
     ) -> None:
-        """Send a whole answer in one write."""
+        """Send a complete response in one write."""
         self.started = True
         length = (b"Content-Length", str(len(body)).encode())
         await self._connection.write(
             h11.Response(
                 status_code=status,
-                headers=self._connection.framed((*headers, length)),
+                headers=self._connection.with_connection_fields(
+                    (*headers, length)
+                ),
             ),
             h11.Data(data=body),
             h11.EndOfMessage(),
@@ -173,7 +175,7 @@
         self.ended = True
 
     def abort(self) -> None:
-        """Cut the connection: the only way to say "not whole" in HTTP."""
+        """Abort the connection: the only sign of a truncated response."""
         self._connection.abort()
 
 
@@ -183,9 +185,9 @@
     Parameters
     ----------
     hooks : Hooks
-        What the listener was given.
+        Callbacks of the listener.
     listener : Listener
-        Knows all connections.
+        Listener that keeps the set of connections.
     """
 
     def __init__(self, hooks: Hooks, listener: "Listener"):
@@ -193,68 +195,68 @@
         self._listener = listener
         self._limits = hooks.limits()
         self._transport: asyncio.Transport | None = None
-        self._http = self._fresh_parser()
+        self._http = self._new_parser()
         self._task: asyncio.Task | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._writable = asyncio.Event()
         self._writable.set()
-        self._lost = False
-        self._start_request()
+        self._closed = False
+        self._reset_request()
 
-    def _fresh_parser(self) -> h11.Connection:
+    def _new_parser(self) -> h11.Connection:
         return h11.Connection(
             h11.SERVER, max_incomplete_event_size=self._limits.max_head_bytes
         )
 
-    def _start_request(self) -> None:
+    def _reset_request(self) -> None:
         self._head: h11.Request | None = None
         self._raw_head = bytearray()
         self._body = bytearray()
         self._began_s: float | None = None
-        self._ahead = 0
+        self._pipelined_bytes = 0
 
     @property
     def idle(self) -> bool:
-        """Whether no byte of an unanswered request has come."""
+        """Whether no byte of an unanswered request has been received."""
         return self._task is None and self._began_s is None
 
-    # What the transport calls.
+    # Callbacks of the transport.
 
     def connection_made(self, transport) -> None:
-        """Keep the transport."""
+        """Store the transport and start the idle timeout."""
         self._transport = transport
         sockets.enable_dead_peer_detection(transport)
         self._listener.connections.add(self)
-        self._expect(self._limits.idle_timeout_s, self.abort)
+        self._set_timer(self._limits.idle_timeout_s, self.abort)
 
     def data_received(self, data: bytes) -> None:
-        """Take in bytes of the present or of the next request."""
-        if self._lost:
+        """Parse bytes of the current request, or buffer pipelined ones."""
+        if self._closed:
             return
         if self._task is not None:
-            self._ahead += len(data)
+            self._pipelined_bytes += len(data)
             self._http.receive_data(data)
-            if self._ahead > MAX_AHEAD_BYTES:
-                # Nothing sane sends so much ahead.  Not to read on would
-                # hide from us that the caller leaves.
+            if self._pipelined_bytes > MAX_PIPELINED_BYTES:
+                # No legitimate client pipelines that much.  Pausing reads
+                # instead would hide that the caller disconnects.
                 self.abort()
             return
-        self._begin()
+        self._update_read_deadline()
         if self._head is None:
             self._raw_head += data
         try:
             self._http.receive_data(data)
             self._read_events()
         except h11.RemoteProtocolError as error:
-            self._refuse(_refusal_of(error))
+            self._refuse(_refusal_for(error))
 
     def eof_received(self) -> bool:
-        """Take the end of the caller's side as its leaving."""
+        """Treat the end of the caller's stream as a disconnect."""
         return False
 
     def connection_lost(self, error) -> None:
-        """Stop the work that nobody waits for."""
-        self._lost = True
+        """Cancel the handler, since no one waits for its response."""
+        self._closed = True
         self._cancel_timer()
         self._writable.set()
         self._listener.connections.discard(self)
@@ -262,52 +264,53 @@
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """Note that the caller reads too slowly."""
+        """Block writers until the caller has caught up."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Note that the caller has caught up."""
+        """Unblock writers."""
         self._writable.set()
 
     # Reading.
 
-    def _begin(self) -> None:
+    def _update_read_deadline(self) -> None:
         if self._began_s is None:
             self._began_s = self._hooks.clock()
             self._limits = self._hooks.limits()
-            self._expect(self._limits.head_timeout_s, self._too_slow)
+            self._set_timer(self._limits.head_timeout_s, self._refuse_slow)
         elif self._head is not None:
-            self._expect(self._limits.idle_timeout_s, self._too_slow)
+            self._set_timer(self._limits.idle_timeout_s, self._refuse_slow)
 
     def _read_events(self) -> None:
-        while self._task is None and not self._lost:
+        while self._task is None and not self._closed:
             event = self._http.next_event()
             if event is h11.NEED_DATA:
-                self._invite_body()
+                self._send_continue()
                 return
             if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                 return
             if isinstance(event, h11.Request):
-                self._take_head(event)
+                self._accept_head(event)
             elif isinstance(event, h11.Data):
                 self._body += event.data
                 if len(self._body) > self._limits.max_body_bytes:
                     self._refuse(Refusal.BODY_TOO_LARGE)
             elif isinstance(event, h11.EndOfMessage):
-                self._serve()
+                self._start_handler()
 
-    def _invite_body(self) -> None:
+    def _send_continue(self) -> None:
         if self._http.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            self._transport.write(self._http.send(go_on))
+            response = h11.InformationalResponse(status_code=100, headers=[])
+            self._transport.write(self._http.send(response))
 
-    def _take_head(self, head: h11.Request) -> None:
+    def _accept_head(self, head: h11.Request) -> None:
         raw = bytes(self._raw_head)
         if not _is_strict(raw, head):
             self._refuse(Refusal.MALFORMED)
             return
         if raw.find(b"\r\n\r\n") > self._limits.max_head_bytes:
-            # The parser bounds only a head that comes in several reads.
+            # The parser enforces its limit only if the head arrives in several
+            # reads.
             self._refuse(Refusal.HEAD_TOO_LARGE)
             return
         self._head = head
@@ -316,13 +319,13 @@
         if length is not None and int(length) > self._limits.max_body_bytes:
             self._refuse(Refusal.BODY_TOO_LARGE)
             return
-        self._expect(self._limits.idle_timeout_s, self._too_slow)
+        self._set_timer(self._limits.idle_timeout_s, self._refuse_slow)
 
-    def _too_slow(self) -> None:
+    def _refuse_slow(self) -> None:
         self._refuse(Refusal.SLOW)
 
     def _refuse(self, refusal: Refusal) -> None:
-        if self._lost:
+        if self._closed:
             return
         self._hooks.refused(refusal)
         LOG.info("request refused: %s", refusal.code)
@@ -338,13 +341,13 @@
                     status_code=refusal.status, headers=headers
                 )
                 self._transport.write(self._http.send(response) + body)
-        self._lost = True
+        self._closed = True
         self._cancel_timer()
         self._transport.close()
 
     # Serving.
 
-    def _serve(self) -> None:
+    def _start_handler(self) -> None:
         self._cancel_timer()
         request = Request(
             message.RequestHead(
@@ -357,11 +360,11 @@
         )
         self._body = bytearray()
         self._task = asyncio.get_running_loop().create_task(
-            self._answered(request)
+            self._run_handler(request)
         )
-        self._task.add_done_callback(self._served)
+        self._task.add_done_callback(self._handler_done)
 
-    async def _answered(self, request: Request) -> None:
+    async def _run_handler(self, request: Request) -> None:
         answer = Answer(self)
         try:
             await self._hooks.handle(request, answer)
@@ -369,21 +372,22 @@
             if not answer.ended:
                 self.abort()
 
-    def _served(self, task: asyncio.Task) -> None:
+    def _handler_done(self, task: asyncio.Task) -> None:
         self._task = None
         if not task.cancelled() and task.exception() is not None:
             if not isinstance(task.exception(), CallerGone):
-                LOG.error("request failed", exc_info=task.exception())
+                LOG.error("request handler failed", exc_info=task.exception())
             self.abort()
-        if self._lost:
+        if self._closed:
             return
         is_announced = h11.MUST_CLOSE in (
             self._http.our_state,
             self._http.their_state,
         )
-        # What was read before the caller could know of the close is served.
-        has_read = bool(self._http.trailing_data[0])
-        if is_announced or (self._hooks.closing() and not has_read):
+        # A request that was read before the caller could know about the close
+        # is still served.
+        has_pipelined_bytes = bool(self._http.trailing_data[0])
+        if is_announced or (self._hooks.closing() and not has_pipelined_bytes):
             self.close()
             return
         self._next_request()
@@ -394,27 +398,29 @@
         except h11.ProtocolError:
             self.abort()
             return
-        self._start_request()
-        ahead = self._http.trailing_data[0]
-        self._expect(self._limits.idle_timeout_s, self.abort)
-        if ahead:
-            # The parser holds what came ahead; its bounds are the next
-            # request's, so a fresh one reads it.
-            self._http = self._fresh_parser()
-            self.data_received(ahead)
-
-    def framed(self, headers: message.Headers) -> list[tuple[bytes, bytes]]:
-        """Return the head's fields with those of this connection."""
-        framed = list(headers)
+        self._reset_request()
+        pipelined = self._http.trailing_data[0]
+        self._set_timer(self._limits.idle_timeout_s, self.abort)
+        if pipelined:
+            # A new parser reads the pipelined bytes, so that the limits of the
+            # next request apply to them.
+            self._http = self._new_parser()
+            self.data_received(pipelined)
+
+    def with_connection_fields(
+        self, headers: message.Headers
+    ) -> list[tuple[bytes, bytes]]:
+        """Return the header fields with those of this connection added."""
+        fields = list(headers)
         if self._hooks.closing():
-            framed.append((b"Connection", b"close"))
-        return framed
+            fields.append((b"Connection", b"close"))
+        return fields
 
     async def write(self, *events) -> None:
-        """Send events; wait while the caller reads too slowly."""
-        if self._lost:
+        """Send events; wait while the transport's write buffer is full."""
+        if self._closed:
             raise CallerGone("connection closed")
-        data = b"".join(self._http.send(each) or b"" for each in events)
+        data = b"".join(self._http.send(event) or b"" for event in events)
         self._transport.write(data)
         if self._writable.is_set():
             return
@@ -423,16 +429,16 @@
                 await self._writable.wait()
         except TimeoutError:
             self.abort()
-            raise CallerGone("reads too slowly") from None
-        if self._lost:
+            raise CallerGone("caller reads too slowly") from None
+        if self._closed:
             raise CallerGone("connection closed")
 
     # Ending.
 
-    def _expect(self, within_s: float, late: Callable[[], None]) -> None:
+    def _set_timer(self, delay_s: float, callback: Callable[[], None]) -> None:
         self._cancel_timer()
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(within_s, late)
+        self._timer = loop.call_later(delay_s, callback)
 
     def _cancel_timer(self) -> None:
         if self._timer is not None:
@@ -440,21 +446,21 @@
             self._timer = None
 
     def close(self) -> None:
-        """Close after what was written has been sent."""
-        self._lost = True
+        """Close the connection after the written bytes have been sent."""
+        self._closed = True
         self._cancel_timer()
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Cut the connection."""
-        self._lost = True
+        """Close the connection at once, without flushing buffered bytes."""
+        self._closed = True
         self._cancel_timer()
         if self._transport is not None:
             self._transport.abort()
 
 
-def _refusal_of(error: h11.RemoteProtocolError) -> Refusal:
+def _refusal_for(error: h11.RemoteProtocolError) -> Refusal:
     return {
         431: Refusal.HEAD_TOO_LARGE,
         501: Refusal.UNSUPPORTED,
@@ -462,11 +468,11 @@
 
 
 def _is_strict(raw: bytes, head: h11.Request) -> bool:
-    """Whether all readers of the head would read the same.
+    """Whether all HTTP implementations parse the head in the same way.
 
-    Bare line feeds, folded fields and two ways to tell the body's length
-    are read differently by different programs; behind such a head a
-    second request can hide that only one of them sees.
+    Bare line feeds, folded fields and a body length that is given in two
+    ways are parsed differently by different implementations.  They allow
+    request smuggling: a second request that only one of them sees.
     """
     names = [name for name, _ in head.headers]
     if b"transfer-encoding" in names and b"content-length" in names:
@@ -483,12 +489,12 @@
 
 
 class Listener:
-    """Accepts callers' connections.
+    """Server socket that accepts connections of callers.
 
     Parameters
     ----------
     hooks : Hooks
-        What it needs from its owner.
+        Callbacks for the connections.
     """
 
     def __init__(self, hooks: Hooks):
@@ -498,7 +504,7 @@
         self.address = ""
 
     async def start(self, host: str, port: int) -> None:
-        """Bind and accept."""
+        """Bind the address and accept connections."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: CallerConnection(self._hooks, self),
@@ -506,23 +512,23 @@
             port,
             backlog=1024,
         )
-        bound = self._server.sockets[0].getsockname()
-        self.address = f"{bound[0]}:{bound[1]}"
+        bound_address = self._server.sockets[0].getsockname()
+        self.address = f"{bound_address[0]}:{bound_address[1]}"
 
     def close_idle(self) -> None:
-        """Close connections on which no request is under way."""
-        for each in list(self.connections):
-            if each.idle:
-                each.close()
+        """Close the connections without a request in flight."""
+        for connection in list(self.connections):
+            if connection.idle:
+                connection.close()
 
     @property
     def busy(self) -> int:
-        """Connections with a request that has not been answered."""
-        return sum(not each.idle for each in self.connections)
+        """Number of connections with an unanswered request."""
+        return sum(not connection.idle for connection in self.connections)
 
     async def stop(self) -> None:
-        """Accept no more and cut what is left."""
+        """Stop accepting, close idle connections and abort the others."""
         if self._server is not None:
             self._server.close()
-        for each in list(self.connections):
-            each.close() if each.idle else each.abort()
+        for connection in list(self.connections):
+            connection.close() if connection.idle else connection.abort()
--- a/toucanrudder/http1/tests/test_server.py
+++ b/toucanrudder/http1/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Bytes that callers send, and what becomes of them."""
+"""Tests of the server's request parsing, limits and connection handling."""
 
 import asyncio
 import contextlib
@@ -15,8 +15,8 @@
 )
 
 
-class Served:
-    """A listener that notes what reached its handler."""
+class RecordingServer:
+    """A listener whose handler records the requests it receives."""
 
     def __init__(self):
         self.requests = []
@@ -51,22 +51,22 @@
 
 
 @contextlib.asynccontextmanager
-async def served():
-    found = Served()
-    await found.listener.start("127.0.0.1", 0)
+async def running_server():
+    recording = RecordingServer()
+    await recording.listener.start("127.0.0.1", 0)
     try:
-        yield found
+        yield recording
     finally:
-        await found.listener.stop()
+        await recording.listener.stop()
 
 
-async def opened(found):
-    host, port = found.listener.address.split(":")
+async def open_connection(recording):
+    host, port = recording.listener.address.split(":")
     return await asyncio.open_connection(host, int(port))
 
 
-async def sent(found, data):
-    reader, writer = await opened(found)
+async def send(recording, data):
+    reader, writer = await open_connection(recording)
     writer.write(data)
     answer = await asyncio.wait_for(reader.read(), 5)
     writer.close()
@@ -97,15 +97,15 @@
 
 @pytest.mark.parametrize("data", MALFORMED.values(), ids=MALFORMED.keys())
 async def test_malformed_requests_run_nothing(data):
-    # The caller gets a 400 of ours and a closed connection; another
-    # program on the way could read such bytes as two requests.
-    async with served() as found:
-        answer = await sent(found, data)
+    # The caller receives a 400 of this server and a closed connection; another
+    # program on the path could parse such bytes as two requests.
+    async with running_server() as recording:
+        answer = await send(recording, data)
         assert answer.startswith(b"HTTP/1.1 400 ")
         assert b"malformed_request" in answer
         assert b"h11" not in answer.lower()
-        assert not found.requests
-        assert found.refusals == [server.Refusal.MALFORMED]
+        assert not recording.requests
+        assert recording.refusals == [server.Refusal.MALFORMED]
 
 
 REFUSED = {
@@ -148,69 +148,69 @@
 @pytest.mark.parametrize(
     ("data", "status", "refusal"), REFUSED.values(), ids=REFUSED.keys()
 )
-async def test_bounds_are_kept(data, status, refusal):
-    async with served() as found:
-        answer = await sent(found, data)
+async def test_requests_beyond_a_limit_are_refused(data, status, refusal):
+    async with running_server() as recording:
+        answer = await send(recording, data)
         assert answer.startswith(b"HTTP/1.1 " + status)
-        assert not found.requests
-        assert found.refusals == [refusal]
+        assert not recording.requests
+        assert recording.refusals == [refusal]
 
 
 async def test_target_and_body_arrive_as_sent():
     data = HEAD + b"Content-Length: 5\r\n\r\nab\r\n\x00"
-    async with served() as found:
-        reader, writer = await opened(found)
+    async with running_server() as recording:
+        reader, writer = await open_connection(recording)
         writer.write(data)
         await reader.readuntil(b"ok")
-        (request,) = found.requests
+        (request,) = recording.requests
         assert request.head.target == b"/a/b?x=%2F%zz"
         assert request.body == b"ab\r\n\x00"
         writer.close()
 
 
-async def test_requests_sent_ahead_are_answered_in_order():
-    async with served() as found:
-        reader, writer = await opened(found)
+async def test_pipelined_requests_are_answered_in_order():
+    async with running_server() as recording:
+        reader, writer = await open_connection(recording)
         writer.write(b"GET /1 HTTP/1.1\r\nHost: h\r\n\r\n" * 2)
         for _ in range(2):
             await reader.readuntil(b"ok")
-        assert len(found.requests) == 2
+        assert len(recording.requests) == 2
         writer.close()
 
 
-async def test_a_caller_that_leaves_is_noticed_while_he_waits():
-    # The caller closes while his request is being worked on.  The handler
-    # is cancelled at once, so that no upstream works on for nobody.
-    async with served() as found:
-        found.gate.clear()
-        _, writer = await opened(found)
+async def test_handler_is_cancelled_when_the_caller_disconnects():
+    # The caller closes the connection while its request is processed.  The
+    # handler is cancelled at once, so that no upstream goes on working on it.
+    async with running_server() as recording:
+        recording.gate.clear()
+        _, writer = await open_connection(recording)
         writer.write(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-        await asyncio.wait_for(found.entered.wait(), 5)
+        await asyncio.wait_for(recording.entered.wait(), 5)
         writer.close()
-        await asyncio.wait_for(found.cancelled.wait(), 5)
+        await asyncio.wait_for(recording.cancelled.wait(), 5)
 
 
-async def test_answers_of_a_stopping_router_close_the_connection():
-    async with served() as found:
-        found.closing = True
-        answer = await sent(found, b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+async def test_responses_of_a_stopping_router_close_the_connection():
+    async with running_server() as recording:
+        recording.closing = True
+        answer = await send(recording, b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
         assert b"connection: close" in answer.lower()
         assert answer.endswith(b"ok")
 
 
-async def test_bytes_sent_far_ahead_are_not_kept():
-    # One caller sends megabytes behind a request that is being answered.
-    # Held in memory they would end the process; not read at all, they
-    # would hide that the caller leaves.  The connection is cut.
-    async with served() as found:
-        found.gate.clear()
-        reader, writer = await opened(found)
+async def test_too_many_pipelined_bytes_abort_the_connection():
+    # A caller sends megabytes behind a request that is being processed.
+    # Buffering them could exhaust the memory of the process; not reading
+    # them would hide that the caller disconnects.
+    async with running_server() as recording:
+        recording.gate.clear()
+        reader, writer = await open_connection(recording)
         writer.write(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-        await asyncio.wait_for(found.entered.wait(), 5)
-        writer.write(b"x" * (2 * server.MAX_AHEAD_BYTES))
+        await asyncio.wait_for(recording.entered.wait(), 5)
+        writer.write(b"x" * (2 * server.MAX_PIPELINED_BYTES))
         with contextlib.suppress(ConnectionError):
             assert await asyncio.wait_for(reader.read(), 5) == b""
-        await asyncio.wait_for(found.cancelled.wait(), 5)
+        await asyncio.wait_for(recording.cancelled.wait(), 5)
 
 
 FIRST, SECOND = (
@@ -220,45 +220,50 @@
 
 
 @pytest.mark.parametrize(
-    ("first", "then"),
+    ("first", "second"),
     ((FIRST, SECOND), (FIRST + SECOND, b""), (FIRST + SECOND[:9], SECOND[9:])),
     ids=("in two reads", "in one read", "begun in the first read"),
 )
-async def test_a_request_that_was_read_before_a_stop_is_answered(first, then):
-    # A planned stop begins while a streamed answer is under way whose head
-    # did not announce the end of the connection.
-    async with served() as found:
-        go_on = asyncio.Event()
-
-        async def streams(request, answer):
-            found.requests.append(request)
+async def test_a_request_that_was_read_before_a_stop_is_answered(
+    first, second
+):
+    # A planned stop begins while a response is streamed whose head did not
+    # announce the close of the connection.
+    async with running_server() as recording:
+        finish_response = asyncio.Event()
+
+        async def stream_response(request, answer):
+            recording.requests.append(request)
             await answer.start(200, ())
-            await go_on.wait()
+            await finish_response.wait()
             await answer.end()
 
-        found.handle = streams
-        reader, writer = await opened(found)
+        recording.handle = stream_response
+        reader, writer = await open_connection(recording)
         writer.write(first)
         await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), 5)
-        writer.write(then)
+        writer.write(second)
         await asyncio.sleep(0.05)
-        found.closing = True
-        go_on.set()
+        recording.closing = True
+        finish_response.set()
         rest = await asyncio.wait_for(reader.read(), 5)
         writer.close()
-    assert [each.head.target for each in found.requests] == [b"/a", b"/b"]
+    assert [request.head.target for request in recording.requests] == [
+        b"/a",
+        b"/b",
+    ]
     assert rest.count(b"HTTP/1.1 200") == 1
     assert b"connection: close" in rest.lower()
 
 
 async def test_a_request_that_crosses_a_close_is_not_run():
-    # The idle connection is closed while a request is on its way.
-    async with served() as found:
-        reader, writer = await opened(found)
+    # The server closes the idle connection while a request is in transit.
+    async with running_server() as recording:
+        reader, writer = await open_connection(recording)
         await asyncio.sleep(0.05)
         writer.write(b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
-        found.listener.close_idle()
+        recording.listener.close_idle()
         with contextlib.suppress(ConnectionError):
             assert not await asyncio.wait_for(reader.read(), 5)
         writer.close()
-    assert not found.requests
+    assert not recording.requests
