--- a/toucanrudder/admin/__init__.py
+++ b/toucanrudder/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' HTTP API, served on a port of its own."""
+"""HTTP API for operators, served on a separate port."""
--- a/toucanrudder/admin/application.py
+++ b/toucanrudder/admin/application.py
@@ -1,4 +1,4 @@
-"""Puts the admin API together."""
+"""Assembly of the admin API's aiohttp application."""
 
 from aiohttp import web
 
@@ -7,8 +7,8 @@
 from toucanrudder.admin import operations
 from toucanrudder.admin import state
 
-# Twice the store's limit of a value, so that a document that is too large
-# is refused by validation, with a message that says so.
+# Twice the store's value size limit, so that validation, rather than aiohttp,
+# rejects an oversized document and reports the reason.
 MAX_BODY_BYTES = 2 * 1024 * 1024
 
 
@@ -16,19 +16,19 @@
     return web.json_response(openapi.document())
 
 
-def build(known: state.State) -> web.Application:
+def build(providers: state.State) -> web.Application:
     """Return the aiohttp application of the admin API.
 
     Parameters
     ----------
-    known : state.State
-        Providers of the daemon that serves it.
+    providers : state.State
+        Callables of the serving daemon.
     """
     application = web.Application(
-        middlewares=[middleware.answer_errors, middleware.authenticate],
+        middlewares=[middleware.handle_errors, middleware.authenticate],
         client_max_size=MAX_BODY_BYTES,
     )
-    application[middleware.STATE] = known
+    application[middleware.STATE] = providers
     for operation in operations.OPERATIONS:
         application.router.add_route(
             operation.method, operation.path, operation.handler
--- a/toucanrudder/admin/audit.py
+++ b/toucanrudder/admin/audit.py
@@ -1,23 +1,25 @@
-"""One log line for each change that an operator makes or tries."""
+"""Audit log: one line per change that an operator makes or attempts."""
 
 import logging
 
 LOG = logging.getLogger("toucanrudder.audit")
 
 
-def record(author: str, change: str, generation: int, outcome: str) -> None:
-    """Log who changed what, under which generation, and how it ended.
+def log_change(
+    author: str, change: str, generation: int, outcome: str
+) -> None:
+    """Log the author, change, generation and outcome.
 
     Parameters
     ----------
     author : str
-        Operator's name, or the address it came from.
+        Operator's name, or the client address.
     change : str
-        What was changed; never holds keys or prompts.
+        Description of the change; must not contain keys or prompts.
     generation : int
         Generation in force after the change.
     outcome : str
-        ``"done"`` or the code of the error.
+        ``"done"`` or the error code.
     """
     LOG.info(
         "change %s by %s, generation %d, %s",
--- a/toucanrudder/admin/changes.py
+++ b/toucanrudder/admin/changes.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration that operators ask for by name."""
+"""Configuration changes that have an admin operation of their own."""
 
 from collections.abc import Iterator
 import contextlib
@@ -12,17 +12,19 @@
 from toucanrudder.document import model
 from toucanrudder.document import serialisation
 
-DRAIN_TRIES = 3
+MAX_DRAIN_ATTEMPTS = 3
 
 
-def _generation(known: state.State) -> int:
-    accepted = known.current()
+def _current_generation(providers: state.State) -> int:
+    accepted = providers.current()
     return accepted.generation if accepted else 0
 
 
 @contextlib.contextmanager
-def audited(known: state.State, author: str, change: str) -> Iterator[None]:
-    """Write the audit line of a change, also when it fails."""
+def audited_change(
+    providers: state.State, author: str, change: str
+) -> Iterator[None]:
+    """Write the audit line of a change, even if it fails."""
     outcome = errors.Code.INTERNAL.value
     try:
         yield
@@ -31,7 +33,9 @@
         outcome = error.code.value
         raise
     finally:
-        audit.record(author, change, _generation(known), outcome)
+        audit.log_change(
+            author, change, _current_generation(providers), outcome
+        )
 
 
 def _with_drained(
@@ -54,46 +58,49 @@
 
 
 async def set_drained(
-    known: state.State, name: str, drained: bool, author: str
+    providers: state.State, name: str, drained: bool, author: str
 ) -> model.Accepted:
-    """Mark the upstream drained, or not, in the document in force.
+    """Set or clear an upstream's drained mark in the current document.
 
     Parameters
     ----------
-    known : state.State
-        Providers of the daemon; a configuration must be in force.
+    providers : state.State
+        Callables of the daemon; a configuration must be in force.
     name : str
-        The upstream.
+        Name of the upstream.
     drained : bool
-        Whether it is to be out of use.
+        Whether the upstream is to be drained.
     author : str
-        Who asks.
+        Operator who requested the change.
 
     Returns
     -------
     model.Accepted
-        What is in force afterwards; unchanged if nothing had to change.
+        Configuration in force afterwards; the current one if the mark was
+        already as requested.
 
     Raises
     ------
     RudderError
-        ``not_found``, or what the write raised.
+        ``not_found``, or any error that the write raises.
     """
-    for tries_left in reversed(range(DRAIN_TRIES)):
-        accepted = known.current()
-        wanted = _with_drained(accepted.document, name, drained)
-        if wanted == accepted.document:
+    for attempts_left in reversed(range(MAX_DRAIN_ATTEMPTS)):
+        accepted = providers.current()
+        updated = _with_drained(accepted.document, name, drained)
+        if updated == accepted.document:
             return accepted
         try:
-            return await known.apply(
-                serialisation.to_json(wanted), accepted.generation, author
+            return await providers.apply(
+                serialisation.to_json(updated), accepted.generation, author
             )
         except errors.RudderError as error:
-            # Another operator's change may come between the read and the
-            # write.  The drain does not depend on that change, so it is
-            # made again on top of it, once this router has seen it.
-            moved = known.current().generation > accepted.generation
+            # Another operator's change may be applied between the read and
+            # the write.  The drain does not depend on it, so the drain is
+            # retried on the new document once this router has received it.
+            generation_advanced = (
+                providers.current().generation > accepted.generation
+            )
             conflict = error.code is errors.Code.CONFIG_CONFLICT
-            if not (conflict and moved and tries_left):
+            if not (conflict and generation_advanced and attempts_left):
                 raise
     raise AssertionError("unreachable")
--- a/toucanrudder/admin/handlers.py
+++ b/toucanrudder/admin/handlers.py
@@ -1,4 +1,4 @@
-"""Handlers of the admin API, one a call."""
+"""Request handlers of the admin API, one per operation."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -30,7 +30,7 @@
     if len(name) > MAX_AUTHOR_CHARS or not name.isprintable():
         raise errors.RudderError(
             errors.Code.BAD_HEADER,
-            f"X-Operator holds at most {MAX_AUTHOR_CHARS} printable "
+            f"X-Operator must be at most {MAX_AUTHOR_CHARS} printable "
             "characters",
             step=middleware.STEP,
         )
@@ -53,7 +53,7 @@
     return data
 
 
-def _current(request: web.Request) -> model.Accepted:
+def _require_current(request: web.Request) -> model.Accepted:
     accepted = request.app[middleware.STATE].current()
     if accepted is None:
         raise errors.RudderError(
@@ -65,29 +65,29 @@
     return accepted
 
 
-def _generation(request: web.Request) -> int:
+def _current_generation(request: web.Request) -> int:
     accepted = request.app[middleware.STATE].current()
     return accepted.generation if accepted else 0
 
 
 async def healthz(request: web.Request) -> web.Response:
-    """Say that the process is up."""
+    """Report that the process is running."""
     return web.json_response({"ok": True})
 
 
 async def get_schema(request: web.Request) -> web.Response:
-    """Return the JSON Schema of the document."""
+    """Return the JSON Schema of the configuration document."""
     return web.json_response(schema.SCHEMA)
 
 
 async def get_configuration(request: web.Request) -> web.Response:
-    """Return the document in force and its generation."""
-    accepted = _current(request)
+    """Return the configuration document in force and its generation."""
+    accepted = _require_current(request)
     return web.json_response(serialisation.accepted_to_json(accepted))
 
 
 async def validate(request: web.Request) -> web.Response:
-    """Check a document; every problem is listed with its JSON path."""
+    """Validate a document and list every problem with its JSON path."""
     data = await _json_object(request)
     try:
         validation.parse(data)
@@ -104,7 +104,7 @@
     old = accepted.document if accepted else model.Document()
     return web.json_response(
         {
-            "generation": _generation(request),
+            "generation": _current_generation(request),
             "changes": [
                 attrs.asdict(change)
                 for change in difference.compare(old, proposed)
@@ -114,20 +114,20 @@
 
 
 async def apply(request: web.Request) -> web.Response:
-    """Put a document in force if the expected generation still is."""
+    """Apply a document if the expected generation is still in force."""
     data = await _json_object(request)
     expected = data.get("expected_generation")
     document = data.get("document")
     if type(expected) is not int or not isinstance(document, dict):
         raise errors.RudderError(
             errors.Code.INVALID_REQUEST,
-            "expected_generation (integer) and document (object) are needed",
+            "expected_generation (integer) and document (object) are required",
             step=middleware.STEP,
         )
     author = _author(request)
-    known = request.app[middleware.STATE]
-    with changes.audited(known, author, "apply"):
-        accepted = await known.apply(document, expected, author)
+    providers = request.app[middleware.STATE]
+    with changes.audited_change(providers, author, "apply"):
+        accepted = await providers.apply(document, expected, author)
     return web.json_response(
         {
             "generation": accepted.generation,
@@ -140,11 +140,11 @@
 async def _set_drained(request: web.Request, drained: bool) -> web.Response:
     name = request.match_info["name"]
     author = _author(request)
-    _current(request)
-    known = request.app[middleware.STATE]
+    _require_current(request)
+    providers = request.app[middleware.STATE]
     change = f"{'drain' if drained else 'undrain'} {name}"
-    with changes.audited(known, author, change):
-        accepted = await changes.set_drained(known, name, drained, author)
+    with changes.audited_change(providers, author, change):
+        accepted = await changes.set_drained(providers, name, drained, author)
     return web.json_response(
         {
             "upstream": name,
@@ -155,59 +155,60 @@
 
 
 async def drain(request: web.Request) -> web.Response:
-    """Take an upstream out of use."""
+    """Mark an upstream as drained."""
     return await _set_drained(request, True)
 
 
 async def undrain(request: web.Request) -> web.Response:
-    """Take an upstream back into use."""
+    """Remove the drained mark of an upstream."""
     return await _set_drained(request, False)
 
 
 async def release(request: web.Request) -> web.Response:
-    """End the quarantine of a request."""
+    """Release a request from quarantine."""
     fingerprint = request.match_info["fingerprint"]
     author = _author(request)
-    known = request.app[middleware.STATE]
-    if not await known.release(fingerprint):
+    providers = request.app[middleware.STATE]
+    if not await providers.release(fingerprint):
         raise errors.RudderError(
             errors.Code.NOT_FOUND,
             "no such quarantined request",
             step=middleware.STEP,
         )
-    audit.record(
-        author, f"release {fingerprint}", _generation(request), "done"
+    audit.log_change(
+        author, f"release {fingerprint}", _current_generation(request), "done"
     )
     return web.json_response({"released": fingerprint})
 
 
-async def _from_store(reading: Awaitable[Sequence]) -> tuple | None:
-    # During an outage of the store the rest of the page, which operators
-    # need most then, must still come at once.
+async def _read_or_none(read: Awaitable[Sequence]) -> tuple | None:
+    # During a store outage, when operators need the status page most, the
+    # rest of it must still be returned promptly.
     try:
         async with asyncio.timeout(STORE_TIMEOUT_S):
-            return tuple(await reading)
+            return tuple(await read)
     except (errors.RudderError, TimeoutError):
         return None
 
 
 async def get_status(request: web.Request) -> web.Response:
-    """Return what this router knows of the fleet."""
-    known = request.app[middleware.STATE]
+    """Return this router's view of the fleet."""
+    providers = request.app[middleware.STATE]
     leases, claims = await asyncio.gather(
-        _from_store(known.leases()), _from_store(known.unknown_claims())
+        _read_or_none(providers.leases()),
+        _read_or_none(providers.unknown_claims()),
     )
     stored = {"leases": leases, "unknown_claims": claims}
     page = status.Status(
-        router=known.router,
-        generation=_generation(request),
-        routers=tuple(known.routers()),
-        upstreams=tuple(known.upstreams()),
+        router=providers.router,
+        generation=_current_generation(request),
+        routers=tuple(providers.routers()),
+        upstreams=tuple(providers.upstreams()),
         leases=leases or (),
-        quarantined=tuple(known.quarantined()),
+        quarantined=tuple(providers.quarantined()),
         unknown_claims=claims or (),
         unavailable=tuple(
-            name for name, found in stored.items() if found is None
+            name for name, values in stored.items() if values is None
         ),
     )
     return web.json_response(attrs.asdict(page))
--- a/toucanrudder/admin/middleware.py
+++ b/toucanrudder/admin/middleware.py
@@ -1,4 +1,4 @@
-"""Authentication of operators, and errors as JSON."""
+"""Middlewares for operator authentication and JSON error responses."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -20,15 +20,20 @@
 
 
 def _authorised(request: web.Request, token: str) -> bool:
-    scheme, _, given = request.headers.get("Authorization", "").partition(" ")
-    # Comparing in constant time keeps the token from being guessed
-    # character by character by the time that an answer takes.
-    same = hmac.compare_digest(given.encode(), token.encode())
-    return bool(token) and scheme.lower() == "bearer" and same
+    scheme, _, credentials = request.headers.get(
+        "Authorization", ""
+    ).partition(" ")
+    # Constant-time comparison, so that response times do not reveal how
+    # many leading characters of the token are right.
+    matches = hmac.compare_digest(credentials.encode(), token.encode())
+    return bool(token) and scheme.lower() == "bearer" and matches
 
 
 def error_response(error: errors.RudderError) -> web.Response:
-    """Return the error as JSON; `as_body` adds a document's problems."""
+    """Return the error as a JSON response.
+
+    For an invalid document, `as_body` includes the list of problems.
+    """
     headers = {}
     if error.retry_after_s is not None:
         headers["Retry-After"] = str(max(1, round(error.retry_after_s)))
@@ -37,7 +42,7 @@
     )
 
 
-def _from_http(error: web.HTTPException) -> errors.RudderError:
+def _from_http_exception(error: web.HTTPException) -> errors.RudderError:
     code = errors.Code.INVALID_REQUEST
     if isinstance(error, web.HTTPNotFound):
         code = errors.Code.NOT_FOUND
@@ -47,18 +52,18 @@
 
 
 @web.middleware
-async def answer_errors(
+async def handle_errors(
     request: web.Request, handler: Handler
 ) -> web.StreamResponse:
-    """Turn every failure into a JSON answer with a code."""
+    """Convert every exception to a JSON response with an error code."""
     try:
         return await handler(request)
     except errors.RudderError as error:
         return error_response(error)
     except web.HTTPException as error:
-        return error_response(_from_http(error))
+        return error_response(_from_http_exception(error))
     except Exception:
-        LOG.exception("admin call failed")
+        LOG.exception("unhandled exception in an admin request")
         return error_response(
             errors.RudderError(
                 errors.Code.INTERNAL, "see the router's log", step=STEP
@@ -70,9 +75,11 @@
 async def authenticate(
     request: web.Request, handler: Handler
 ) -> web.StreamResponse:
-    """Refuse callers without the token, but for the public pages."""
-    known = request.app[STATE]
-    if request.path not in PUBLIC and not _authorised(request, known.token):
+    """Reject requests without the token, except for public pages."""
+    providers = request.app[STATE]
+    if request.path not in PUBLIC and not _authorised(
+        request, providers.token
+    ):
         raise errors.RudderError(
             errors.Code.UNAUTHORIZED, "wrong or missing token", step=STEP
         )
--- a/toucanrudder/admin/openapi.py
+++ b/toucanrudder/admin/openapi.py
@@ -1,4 +1,4 @@
-"""The OpenAPI description, made from the table of calls."""
+"""OpenAPI document, generated from the table of operations."""
 
 from collections.abc import Iterable
 import re
@@ -14,10 +14,10 @@
 
 def _responses(operation: operations.Operation) -> dict:
     content = {"text/plain": {"schema": {"type": "string"}}}
-    if operation.answer:
-        content = {"application/json": {"schema": operation.answer}}
+    if operation.response_schema:
+        content = {"application/json": {"schema": operation.response_schema}}
     responses = {"200": {"description": "Done", "content": content}}
-    failures = {*operation.failures, codes.Code.INTERNAL}
+    failures = {*operation.error_codes, codes.Code.INTERNAL}
     if operation.path not in middleware.PUBLIC:
         failures.add(codes.Code.UNAUTHORIZED)
     by_status: dict[str, list[str]] = {}
@@ -46,20 +46,20 @@
         }
         for name in _PARAMETER.findall(operation.path)
     ]
-    if codes.Code.BAD_HEADER in operation.failures:
+    if codes.Code.BAD_HEADER in operation.error_codes:
         parameters.append(
             {
                 "name": "X-Operator",
                 "in": "header",
                 "required": False,
-                "description": "Who makes the change, for the audit line.",
+                "description": "Operator's name for the audit log.",
                 "schema": {"type": "string"},
             }
         )
     return parameters
 
 
-def _describe(operation: operations.Operation) -> dict:
+def _describe_operation(operation: operations.Operation) -> dict:
     description = {
         "operationId": operation.handler.__name__,
         "summary": operation.handler.__doc__.splitlines()[0],
@@ -69,10 +69,10 @@
             [] if operation.path in middleware.PUBLIC else [{"token": []}]
         ),
     }
-    if operation.body:
+    if operation.body_schema:
         description["requestBody"] = {
             "required": True,
-            "content": {"application/json": {"schema": operation.body}},
+            "content": {"application/json": {"schema": operation.body_schema}},
         }
     return description
 
@@ -80,11 +80,13 @@
 def document(
     table: Iterable[operations.Operation] = operations.OPERATIONS,
 ) -> dict:
-    """Return the OpenAPI document of the calls in `table`."""
+    """Return the OpenAPI document of the operations in `table`."""
     paths: dict[str, dict] = {}
     for operation in table:
         method = operation.method.lower()
-        paths.setdefault(operation.path, {})[method] = _describe(operation)
+        paths.setdefault(operation.path, {})[method] = _describe_operation(
+            operation
+        )
     return {
         "openapi": "3.1.0",
         "info": {
--- a/toucanrudder/admin/operations.py
+++ b/toucanrudder/admin/operations.py
@@ -1,4 +1,4 @@
-"""The table of calls, from which routes and OpenAPI are made."""
+"""Table of operations that the routes and the OpenAPI document come from."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -10,14 +10,14 @@
 from toucanrudder.admin import schemas
 from toucanrudder.errors import codes
 
-_CHANGE = (
+_CHANGE_ERRORS = (
     codes.Code.NOT_CONFIGURED,
     codes.Code.CONFIG_INVALID,
     codes.Code.CONFIG_CONFLICT,
     codes.Code.STORE_UNAVAILABLE,
     codes.Code.OUTCOME_UNKNOWN,
 )
-_BODY = (
+_BODY_ERRORS = (
     codes.Code.MALFORMED_JSON,
     codes.Code.INVALID_REQUEST,
     codes.Code.BODY_TOO_LARGE,
@@ -26,28 +26,28 @@
 
 @attrs.frozen
 class Operation:
-    """A call of the admin API.
+    """An operation of the admin API.
 
     Parameters
     ----------
     method, path : str
-        As in the route; path parameters in braces.
+        As in the route, with path parameters in braces.
     handler : callable
-        Coroutine function that answers.
-    answer : dict
-        JSON Schema of a 200 answer, or empty for plain text.
-    body : dict
+        Coroutine function that handles the request.
+    response_schema : dict
+        JSON Schema of a 200 response, or empty for plain text.
+    body_schema : dict
         JSON Schema of the request body, or empty.
-    failures : tuple of codes.Code
-        Errors beside ``unauthorized`` and ``internal``.
+    error_codes : tuple of codes.Code
+        Possible errors other than ``unauthorized`` and ``internal``.
     """
 
     method: str
     path: str
     handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
-    answer: dict = attrs.field(factory=dict)
-    body: dict = attrs.field(factory=dict)
-    failures: tuple[codes.Code, ...] = ()
+    response_schema: dict = attrs.field(factory=dict)
+    body_schema: dict = attrs.field(factory=dict)
+    error_codes: tuple[codes.Code, ...] = ()
 
 
 OPERATIONS = (
@@ -60,51 +60,59 @@
         "/configuration",
         handlers.get_configuration,
         schemas.ACCEPTED,
-        failures=(codes.Code.NOT_CONFIGURED,),
+        error_codes=(codes.Code.NOT_CONFIGURED,),
     ),
     Operation(
         "POST",
         "/validate",
         handlers.validate,
-        schemas.VALIDATED,
+        schemas.VALIDATION_RESULT,
         schemas.DOCUMENT,
-        _BODY,
+        _BODY_ERRORS,
     ),
     Operation(
         "POST",
         "/diff",
         handlers.diff,
-        schemas.DIFFERENCE,
+        schemas.DIFF_RESULT,
         schemas.DOCUMENT,
-        (*_BODY, codes.Code.CONFIG_INVALID),
+        (*_BODY_ERRORS, codes.Code.CONFIG_INVALID),
     ),
     Operation(
         "POST",
         "/apply",
         handlers.apply,
-        schemas.APPLIED,
-        schemas.APPLY,
-        (*_BODY, codes.Code.BAD_HEADER, *_CHANGE),
+        schemas.APPLY_RESULT,
+        schemas.APPLY_REQUEST,
+        (*_BODY_ERRORS, codes.Code.BAD_HEADER, *_CHANGE_ERRORS),
     ),
     Operation(
         "POST",
         "/upstreams/{name}/drain",
         handlers.drain,
-        schemas.DRAINED,
-        failures=(codes.Code.NOT_FOUND, codes.Code.BAD_HEADER, *_CHANGE),
+        schemas.DRAIN_RESULT,
+        error_codes=(
+            codes.Code.NOT_FOUND,
+            codes.Code.BAD_HEADER,
+            *_CHANGE_ERRORS,
+        ),
     ),
     Operation(
         "POST",
         "/upstreams/{name}/undrain",
         handlers.undrain,
-        schemas.DRAINED,
-        failures=(codes.Code.NOT_FOUND, codes.Code.BAD_HEADER, *_CHANGE),
+        schemas.DRAIN_RESULT,
+        error_codes=(
+            codes.Code.NOT_FOUND,
+            codes.Code.BAD_HEADER,
+            *_CHANGE_ERRORS,
+        ),
     ),
     Operation(
         "DELETE",
         "/quarantine/{fingerprint}",
         handlers.release,
-        schemas.RELEASED,
-        failures=(codes.Code.NOT_FOUND, codes.Code.BAD_HEADER),
+        schemas.RELEASE_RESULT,
+        error_codes=(codes.Code.NOT_FOUND, codes.Code.BAD_HEADER),
     ),
 )
--- a/toucanrudder/admin/schemas.py
+++ b/toucanrudder/admin/schemas.py
@@ -1,4 +1,4 @@
-"""JSON Schemas of what the admin API takes and answers."""
+"""JSON Schemas of the request and response bodies of the admin API."""
 
 import types
 import typing
@@ -7,7 +7,7 @@
 
 from toucanrudder.admin import status
 
-_SIMPLE = {
+_SCALAR_SCHEMAS = {
     str: {"type": "string"},
     int: {"type": "integer"},
     float: {"type": "number"},
@@ -16,31 +16,31 @@
 }
 
 
-def of(kind: object) -> dict:
-    """Return the JSON Schema of a type used by an attrs class.
+def schema_of(annotation: object) -> dict:
+    """Return the JSON Schema of a field type of an attrs class.
 
     Examples
     --------
-    >>> of(tuple[int, ...])
+    >>> schema_of(tuple[int, ...])
     {'type': 'array', 'items': {'type': 'integer'}}
     """
-    if kind in _SIMPLE:
-        return dict(_SIMPLE[kind])
-    if attrs.has(kind):
-        return _of_class(kind)
-    arguments = typing.get_args(kind)
-    if isinstance(kind, types.UnionType):
-        return {"anyOf": [of(argument) for argument in arguments]}
-    if typing.get_origin(kind) is tuple:
-        return {"type": "array", "items": of(arguments[0])}
-    raise TypeError(f"no JSON Schema for {kind}")
+    if annotation in _SCALAR_SCHEMAS:
+        return dict(_SCALAR_SCHEMAS[annotation])
+    if attrs.has(annotation):
+        return _schema_of_class(annotation)
+    arguments = typing.get_args(annotation)
+    if isinstance(annotation, types.UnionType):
+        return {"anyOf": [schema_of(argument) for argument in arguments]}
+    if typing.get_origin(annotation) is tuple:
+        return {"type": "array", "items": schema_of(arguments[0])}
+    raise TypeError(f"no JSON Schema for {annotation}")
 
 
-def _of_class(kind: type) -> dict:
-    fields = attrs.fields(kind)
+def _schema_of_class(attrs_class: type) -> dict:
+    fields = attrs.fields(attrs_class)
     return {
         "type": "object",
-        "properties": {field.name: of(field.type) for field in fields},
+        "properties": {field.name: schema_of(field.type) for field in fields},
         "required": [field.name for field in fields],
         "additionalProperties": False,
     }
@@ -63,25 +63,27 @@
 }
 PROBLEM = _object(path=_STRING, message=_STRING)
 HEALTH = _object(ok={"type": "boolean"})
-STATUS = of(status.Status)
+STATUS = schema_of(status.Status)
 ACCEPTED = _object(
     generation=_GENERATION,
     apply_id=_STRING,
     author=_STRING,
     document=DOCUMENT,
 )
-VALIDATED = _object(
+VALIDATION_RESULT = _object(
     valid={"type": "boolean"}, problems={"type": "array", "items": PROBLEM}
 )
-DIFFERENCE = _object(
+DIFF_RESULT = _object(
     generation=_GENERATION, changes={"type": "array", "items": ANY_OBJECT}
 )
-APPLY = _object(expected_generation=_GENERATION, document=DOCUMENT)
-APPLIED = _object(generation=_GENERATION, apply_id=_STRING, author=_STRING)
-DRAINED = _object(
+APPLY_REQUEST = _object(expected_generation=_GENERATION, document=DOCUMENT)
+APPLY_RESULT = _object(
+    generation=_GENERATION, apply_id=_STRING, author=_STRING
+)
+DRAIN_RESULT = _object(
     upstream=_STRING, drained={"type": "boolean"}, generation=_GENERATION
 )
-RELEASED = _object(released=_STRING)
+RELEASE_RESULT = _object(released=_STRING)
 ERROR = _object(
     error={
         "type": "object",
--- a/toucanrudder/admin/state.py
+++ b/toucanrudder/admin/state.py
@@ -1,4 +1,4 @@
-"""What the admin API needs from the daemon that serves it."""
+"""Callables through which the admin API reads and changes the daemon."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -11,28 +11,28 @@
 from toucanrudder.observability import metrics
 
 
-def _nothing() -> tuple:
+def _empty() -> tuple:
     return ()
 
 
-async def _nothing_async() -> tuple:
+async def _empty_async() -> tuple:
     return ()
 
 
-async def _not_held(fingerprint: str) -> bool:
+async def _not_quarantined(fingerprint: str) -> bool:
     return False
 
 
 @attrs.frozen
 class State:
-    """Providers that the daemon fills in; each is called per request.
+    """Callables supplied by the daemon, called on each request.
 
     Parameters
     ----------
     router : str
         Name of this router.
     token : str
-        Bearer token of operators; empty refuses every guarded call.
+        Bearer token of operators; if empty, every non-public call is rejected.
     current : callable
         Returns the `model.Accepted` in force, or None.
     apply : callable
@@ -41,27 +41,27 @@
     routers, upstreams, quarantined : callable
         Return sequences of the classes in :mod:`toucanrudder.admin.status`.
     leases, unknown_claims : callable
-        The same, awaitable; they read the store, so they may raise
+        The same, but awaitable; they read the store and may raise
         `RudderError`.
     release : callable
         ``await release(fingerprint)`` ends a quarantine on every router;
-        False when the fingerprint is not held.
+        returns False if the fingerprint is not quarantined.
     metrics_page : callable
-        Returns the Prometheus page.
+        Returns the metrics in the Prometheus text format.
     """
 
     router: str
     token: str = attrs.field(repr=False)
     current: Callable[[], model.Accepted | None]
     apply: Callable[[dict, int, str], Awaitable[model.Accepted]]
-    routers: Callable[[], Sequence[status.RouterStatus]] = _nothing
-    upstreams: Callable[[], Sequence[status.UpstreamStatus]] = _nothing
-    quarantined: Callable[[], Sequence[status.QuarantineStatus]] = _nothing
+    routers: Callable[[], Sequence[status.RouterStatus]] = _empty
+    upstreams: Callable[[], Sequence[status.UpstreamStatus]] = _empty
+    quarantined: Callable[[], Sequence[status.QuarantineStatus]] = _empty
     leases: Callable[[], Awaitable[Sequence[status.LeaseStatus]]] = (
-        _nothing_async
+        _empty_async
     )
     unknown_claims: Callable[[], Awaitable[Sequence[status.ClaimStatus]]] = (
-        _nothing_async
+        _empty_async
     )
-    release: Callable[[str], Awaitable[bool]] = _not_held
+    release: Callable[[str], Awaitable[bool]] = _not_quarantined
     metrics_page: Callable[[], bytes] = metrics.page
--- a/toucanrudder/admin/status.py
+++ b/toucanrudder/admin/status.py
@@ -1,4 +1,4 @@
-"""What the status page says, as typed values.
+"""Typed contents of the status page.
 
 See Also
 --------
@@ -10,19 +10,19 @@
 
 @attrs.frozen
 class RouterStatus:
-    """A member of the fleet as this router sees it.
+    """A router of the fleet, as known to this router.
 
     Parameters
     ----------
     name, zone, address : str
-        As the member told them.
+        As reported by the member.
     generation : int or None
-        Configuration generation in force there; 0 when there is none,
-        None when only other routers have told of the member.
+        Configuration generation in force there; 0 if there is none,
+        None if the member is known only through other routers.
     heard_age_s : float
-        Seconds since the member was last heard of.
+        Seconds since news of the member last arrived.
     ready : bool
-        Whether it takes new work.
+        Whether it accepts new requests.
     """
 
     name: str
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class UpstreamStatus:
-    """An upstream as this router sees it."""
+    """An upstream, as known to this router."""
 
     name: str
     kind: str
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class LeaseStatus:
-    """A lease, as the store has it; it keeps no times."""
+    """A lease as stored; the store keeps no times for it."""
 
     name: str
     holder: str
@@ -60,7 +60,7 @@
 
 @attrs.frozen
 class QuarantineStatus:
-    """A request that is no longer run because upstreams crashed under it."""
+    """A request that is not run again because upstreams crashed on it."""
 
     fingerprint: str
     crashes: int
@@ -80,7 +80,7 @@
 
 @attrs.frozen
 class Status:
-    """The whole page."""
+    """The complete status page."""
 
     router: str
     generation: int
--- a/toucanrudder/admin/stored.py
+++ b/toucanrudder/admin/stored.py
@@ -1,4 +1,4 @@
-"""What the status page reads from the store, when an operator asks."""
+"""Leases and claims that the status page reads from the store on request."""
 
 from collections.abc import AsyncIterator
 
@@ -11,20 +11,19 @@
 from toucanrudder.store import interface
 
 STEP = "status"
-PAGE = 100
-# Bounds what one look at the page costs the store; the page says when
-# there is more.
+PAGE_SIZE = 100
+# Bounds the number of store reads for one status request.
 MAX_OBJECTS = 2000
 
 
-async def _objects(
+async def _list_objects(
     objects: store.ObjectStore, kind: str, timeout_s: float
 ) -> AsyncIterator[interface.StoredObject]:
     after = ""
-    for _ in range(MAX_OBJECTS // PAGE):
+    for _ in range(MAX_OBJECTS // PAGE_SIZE):
         try:
             page = await objects.list(
-                kind, after=after, limit=PAGE, timeout_s=timeout_s
+                kind, after=after, limit=PAGE_SIZE, timeout_s=timeout_s
             )
         except interface.StoreUnavailable as error:
             raise errors.RudderError(
@@ -33,9 +32,9 @@
                 step=STEP,
                 peer="store",
             ) from error
-        for found in page:
-            yield found
-        if len(page) < PAGE:
+        for stored_object in page:
+            yield stored_object
+        if len(page) < PAGE_SIZE:
             return
         after = page[-1].name
 
@@ -43,7 +42,7 @@
 async def leases(
     objects: store.ObjectStore, timeout_s: float
 ) -> list[status.LeaseStatus]:
-    """Return all leases as the store has them.
+    """Return the stored leases.
 
     Raises
     ------
@@ -52,11 +51,13 @@
     """
     return [
         status.LeaseStatus(
-            found.name,
-            str(found.value.get("holder", "")),
-            int(found.value.get("fencing", 0)),
+            stored_object.name,
+            str(stored_object.value.get("holder", "")),
+            int(stored_object.value.get("fencing", 0)),
+        )
+        async for stored_object in _list_objects(
+            objects, holder.KIND, timeout_s
         )
-        async for found in _objects(objects, holder.KIND, timeout_s)
     ]
 
 
@@ -66,9 +67,9 @@
     timeout_s: float,
     now_unix_s: float,
 ) -> list[status.ClaimStatus]:
-    """Return claims that were started long ago and have no result.
+    """Return started claims that have had no result for too long.
 
-    Looks at the first `MAX_OBJECTS` claims only.
+    Only the first `MAX_OBJECTS` claims are read.
 
     Raises
     ------
@@ -76,18 +77,18 @@
         ``store_unavailable``.
     """
     claims = []
-    async for found in _objects(objects, record.KIND, timeout_s):
+    async for stored_object in _list_objects(objects, record.KIND, timeout_s):
         try:
-            held = record.Record.from_value(found.value)
+            claim = record.Record.from_value(stored_object.value)
         except (ValueError, KeyError, TypeError):
             continue
-        age_s = now_unix_s - held.created_unix_s
+        age_s = now_unix_s - claim.created_unix_s
         if (
-            held.state is record.State.STARTED
+            claim.state is record.State.STARTED
             and age_s >= limits.reported_running_s
         ):
-            organisation, _, digest = found.name.rpartition(".")
+            organisation, _, digest = stored_object.name.rpartition(".")
             claims.append(
-                status.ClaimStatus(organisation, digest, held.router, age_s)
+                status.ClaimStatus(organisation, digest, claim.router, age_s)
             )
     return claims
--- a/toucanrudder/admin/tests/test_application.py
+++ b/toucanrudder/admin/tests/test_application.py
@@ -32,16 +32,16 @@
 
 
 class Controller:
-    """Keeps a configuration in memory, as the real controller would.
+    """In-memory replacement for the configuration controller.
 
-    `racers` are documents of other operators, each put in force right
-    before a write of ours.
+    Each of `concurrent_documents` comes from another operator and takes
+    effect immediately before the next write.
     """
 
     def __init__(self, document: model.Document | None) -> None:
         self.current = None
-        self.racers: list[model.Document] = []
-        self.down = False
+        self.concurrent_documents: list[model.Document] = []
+        self.is_down = False
         if document:
             self._accept(document, "setup")
 
@@ -53,15 +53,15 @@
         self, data: dict, expected: int, author: str
     ) -> model.Accepted:
         document = validation.parse(data)
-        if self.down:
+        if self.is_down:
             raise errors.RudderError(
                 errors.Code.STORE_UNAVAILABLE,
-                "the store is down",
+                "the store is unreachable",
                 step="configuration",
                 retry_after_s=2.0,
             )
-        if self.racers:
-            self._accept(self.racers.pop(0), "bert")
+        if self.concurrent_documents:
+            self._accept(self.concurrent_documents.pop(0), "bert")
         generation = self.current.generation if self.current else 0
         if generation != expected:
             raise errors.RudderError(
@@ -85,18 +85,18 @@
         return fingerprint == "f00"
 
     async def leases() -> tuple:
-        if controller.down:
+        if controller.is_down:
             await asyncio.Event().wait()
         return (status.LeaseStatus("weights.small", "r1", 4),)
 
     async def claims() -> tuple:
-        if controller.down:
+        if controller.is_down:
             raise errors.RudderError(
-                errors.Code.STORE_UNAVAILABLE, "down", step="claims"
+                errors.Code.STORE_UNAVAILABLE, "unreachable", step="claims"
             )
         return (status.ClaimStatus("weld", "b" * 64, "r1", 3.0),)
 
-    known = state.State(
+    providers = state.State(
         router="r1",
         token=TOKEN,
         current=lambda: controller.current,
@@ -110,7 +110,7 @@
         unknown_claims=claims,
         release=release,
     )
-    server = test_utils.TestServer(application.build(known))
+    server = test_utils.TestServer(application.build(providers))
     async with test_utils.TestClient(server) as client:
         yield client
 
@@ -128,7 +128,7 @@
 BROKEN["organisations"][0]["weight"] = "heavy"
 BROKEN["organisations"][0]["models"] = ["missing"]
 
-# method, path, body, status, what the answer's text holds
+# method, path, body, status, text contained in the response
 CALLS = [
     ("GET", "/healthz", None, 200, "true"),
     ("GET", "/metrics", None, 200, "# HELP"),
@@ -155,52 +155,62 @@
 ]
 
 
-@pytest.mark.parametrize(("method", "path", "body", "code", "held"), CALLS)
-async def test_answers(client, method, path, body, code, held):
-    answer = await client.request(method, path, json=body, headers=AUTHORISED)
-    text = await answer.text()
-    assert answer.status == code, text
-    assert held in text
+@pytest.mark.parametrize(
+    ("method", "path", "body", "code", "expected_text"), CALLS
+)
+async def test_calls_return_the_expected_status_and_text(
+    client, method, path, body, code, expected_text
+):
+    response = await client.request(
+        method, path, json=body, headers=AUTHORISED
+    )
+    text = await response.text()
+    assert response.status == code, text
+    assert expected_text in text
     if code >= 400:
         jsonschema.validate(json.loads(text), schemas.ERROR)
 
 
 async def test_validate_lists_all_problems_with_paths(client):
-    answer = await client.post("/validate", json=BROKEN, headers=AUTHORISED)
-    body = await answer.json()
-    jsonschema.validate(body, schemas.VALIDATED)
+    response = await client.post("/validate", json=BROKEN, headers=AUTHORISED)
+    body = await response.json()
+    jsonschema.validate(body, schemas.VALIDATION_RESULT)
     assert not body["valid"]
     assert all(problem["path"] for problem in body["problems"])
 
 
 @pytest.mark.parametrize("operation", operations.OPERATIONS)
-async def test_only_public_pages_come_without_the_token(client, operation):
+async def test_only_public_pages_are_served_without_the_token(
+    client, operation
+):
     path = operation.path.format(name="e1", fingerprint="f00")
-    for wrong in ({}, {"Authorization": "Bearer wrong"}):
-        answer = await client.request(operation.method, path, headers=wrong)
-        described = openapi.document()["paths"][operation.path]
-        public = not described[operation.method.lower()]["security"]
-        assert answer.status == (200 if public else 401)
+    for headers in ({}, {"Authorization": "Bearer wrong"}):
+        response = await client.request(
+            operation.method, path, headers=headers
+        )
+        description = openapi.document()["paths"][operation.path]
+        public = not description[operation.method.lower()]["security"]
+        assert response.status == (200 if public else 401)
 
 
 async def test_an_empty_token_refuses_every_change(controller):
-    known = state.State(
+    providers = state.State(
         router="r1",
         token="",
         current=lambda: controller.current,
         apply=controller.apply,
     )
-    server = test_utils.TestServer(application.build(known))
+    server = test_utils.TestServer(application.build(providers))
     async with test_utils.TestClient(server) as client:
-        answer = await client.post(
+        response = await client.post(
             "/upstreams/e1/drain", headers={"Authorization": "Bearer "}
         )
-        assert answer.status == 401
+        assert response.status == 401
 
 
-async def test_openapi_agrees_with_the_code(client):
-    answer = await client.get("/openapi.json")
-    described = await answer.json()
+async def test_openapi_lists_exactly_the_routes(client):
+    response = await client.get("/openapi.json")
+    description = await response.json()
     routes = {
         (route.method, route.resource.canonical)
         for route in client.app.router.routes()
@@ -208,55 +218,57 @@
     }
     listed = {
         (method.upper(), path)
-        for path, calls in described["paths"].items()
+        for path, calls in description["paths"].items()
         for method in calls
     }
     assert listed == routes - {("GET", "/openapi.json")}
 
 
 @pytest.mark.parametrize(
-    ("method", "path", "body", "code", "held"),
+    ("method", "path", "body", "code", "expected_text"),
     [call for call in CALLS if call[3] == 200 and call[1] != "/metrics"],
 )
-async def test_answers_fit_their_schema(
-    client, method, path, body, code, held
+async def test_responses_match_their_schema(
+    client, method, path, body, code, expected_text
 ):
-    answer = await client.request(method, path, json=body, headers=AUTHORISED)
+    response = await client.request(
+        method, path, json=body, headers=AUTHORISED
+    )
     template = path.replace("e1", "{name}").replace("f00", "{fingerprint}")
-    described = openapi.document()["paths"][template][method.lower()]
-    content = described["responses"]["200"]["content"]["application/json"]
-    jsonschema.validate(await answer.json(), content["schema"])
+    description = openapi.document()["paths"][template][method.lower()]
+    content = description["responses"]["200"]["content"]["application/json"]
+    jsonschema.validate(await response.json(), content["schema"])
 
 
-async def test_a_drain_is_made_again_on_top_of_another_change(
-    client, controller
-):
-    """Two operators change the configuration at the same moment.
+async def test_drain_is_retried_after_a_concurrent_change(client, controller):
+    """Test a drain during another operator's change.
 
-    One drains an upstream while the other's new document takes effect
-    between the drain's read and its write.  The drain must not undo the
-    other change, and needs no second call: it is repeated on top of it.
+    The other operator's document takes effect between the drain's read
+    and its write.  The drain must not undo that change, and is retried on
+    the new document without a second call.
     """
-    controller.racers.append(
+    controller.concurrent_documents.append(
         attrs.evolve(DOCUMENT, models=(model.Model("small", "w2"),))
     )
-    answer = await client.post("/upstreams/e1/drain", headers=AUTHORISED)
-    assert answer.status == 200
+    response = await client.post("/upstreams/e1/drain", headers=AUTHORISED)
+    assert response.status == 200
     document = controller.current.document
     assert document.models[0].weights_version == "w2"
     assert document.upstreams[0].drained
 
 
-async def test_status_comes_while_the_store_is_down(client, controller):
-    controller.down = True
-    answer = await client.get("/status", headers=AUTHORISED)
-    body = await answer.json()
-    assert answer.status == 200
+async def test_status_is_served_during_a_store_outage(client, controller):
+    controller.is_down = True
+    response = await client.get("/status", headers=AUTHORISED)
+    body = await response.json()
+    assert response.status == 200
     assert body["unavailable"] == ["leases", "unknown_claims"]
     assert body["quarantined"]
-    answer = await client.post("/apply", json=apply_body(), headers=AUTHORISED)
-    assert answer.status == 503
-    assert answer.headers["Retry-After"] == "2"
+    response = await client.post(
+        "/apply", json=apply_body(), headers=AUTHORISED
+    )
+    assert response.status == 503
+    assert response.headers["Retry-After"] == "2"
 
 
 CHANGES = [
@@ -284,8 +296,8 @@
 
 
 @pytest.mark.parametrize("name", ["x" * 200, "a\u0085b"])
-async def test_an_unfit_operator_name_is_refused(client, name):
+async def test_invalid_operator_name_is_rejected(client, name):
     headers = {**AUTHORISED, "X-Operator": name}
-    answer = await client.post("/upstreams/e1/drain", headers=headers)
-    assert answer.status == 400
-    assert "bad_header" in await answer.text()
+    response = await client.post("/upstreams/e1/drain", headers=headers)
+    assert response.status == 400
+    assert "bad_header" in await response.text()
--- a/toucanrudder/admin/tests/test_status.py
+++ b/toucanrudder/admin/tests/test_status.py
@@ -2,13 +2,13 @@
 from toucanrudder.testing import fleet as fleets
 
 
-async def test_status_tells_of_all_routers_and_of_the_store():
-    """An operator looks at one router and must see the whole fleet.
+async def test_status_covers_all_routers_and_the_store():
+    """Test that the status of one router covers the whole fleet.
 
-    Two routers run; a change is applied at one and the other's status
-    shows the generation at both, the lease for weight orders, and every
-    upstream.  Then the platform is gone: what it held is named as not
-    available, and the rest of the page still comes.
+    A change is applied at one of two routers.  The other's status must show
+    the new generation at both, the lease for weight orders and every
+    upstream.  After the platform is killed, the status must list the parts
+    read from it as unavailable and still return the rest.
     """
     plan = fleets.Plan(engines=2, services=1, routers=1)
     async with fleets.running(plan) as fleet:
@@ -22,16 +22,16 @@
         status, _ = await first.apply(changed, accepted["generation"])
         assert status == 200
 
-        async def seen() -> bool:
+        async def status_is_current() -> bool:
             page = await second.get("/status")
-            generations = [each["generation"] for each in page["routers"]]
+            generations = [entry["generation"] for entry in page["routers"]]
             return generations == [generation] * 2 and page["leases"]
 
-        await control.until(seen)
+        await control.until(status_is_current)
         page = await second.get("/status")
-        names = {each["name"] for each in page["routers"]}
+        names = {entry["name"] for entry in page["routers"]}
         assert names == {router.name for router in fleet.routers}
-        assert {each["state"] for each in page["upstreams"]} == {"live"}
+        assert {entry["state"] for entry in page["upstreams"]} == {"live"}
         assert page["unavailable"] == []
         assert page["leases"][0]["fencing"] >= 1
         await fleet.platform.kill()
--- a/toucanrudder/admin/tests/test_tls.py
+++ b/toucanrudder/admin/tests/test_tls.py
@@ -17,11 +17,11 @@
 
 
 @pytest.fixture
-def files(authority, tmp_path):
-    issued = authority.issue_cert("127.0.0.1")
+def pem_files(authority, tmp_path):
+    issued_certificate = authority.issue_cert("127.0.0.1")
     certificate, key = tmp_path / "certificate.pem", tmp_path / "key.pem"
-    issued.cert_chain_pems[0].write_to_path(str(certificate))
-    issued.private_key_pem.write_to_path(str(key))
+    issued_certificate.cert_chain_pems[0].write_to_path(str(certificate))
+    issued_certificate.private_key_pem.write_to_path(str(key))
     return str(certificate), str(key)
 
 
@@ -29,16 +29,15 @@
     assert tls.server_context("", "") is None
 
 
-@pytest.mark.parametrize("wrong", [(0, None), (None, 1), (0, 0), (1, 1)])
-def test_files_that_do_not_fit_are_refused_by_name(files, wrong):
-    """A wrong certificate must stop the start, not leave plain HTTP.
+@pytest.mark.parametrize("indices", [(0, None), (None, 1), (0, 0), (1, 1)])
+def test_mismatched_files_are_rejected_by_option_name(pem_files, indices):
+    """Test that invalid TLS settings stop the start, not disable TLS.
 
-    One of the two files is missing from the settings, or both options
-    name the same one.  Serving without TLS would send the operators'
-    token readable over the network.
+    One of the two options is missing, or both name the same file.  Without
+    TLS, the operators' token would cross the network in plain text.
     """
     certificate, key = (
-        "" if index is None else files[index] for index in wrong
+        "" if index is None else pem_files[index] for index in indices
     )
     with pytest.raises(errors.RudderError) as caught:
         tls.server_context(certificate, key)
@@ -46,25 +45,25 @@
     assert "tls_certificate" in str(caught.value)
 
 
-async def test_the_admin_api_over_tls(authority, files):
+async def test_the_admin_api_over_tls(authority, pem_files):
     async def apply(*_: object) -> None:
         raise AssertionError("not called")
 
-    known = state.State("r1", "token", lambda: None, apply)
-    runner = web.AppRunner(application.build(known))
+    providers = state.State("r1", "token", lambda: None, apply)
+    runner = web.AppRunner(application.build(providers))
     await runner.setup()
     site = web.TCPSite(
-        runner, "127.0.0.1", 0, ssl_context=tls.server_context(*files)
+        runner, "127.0.0.1", 0, ssl_context=tls.server_context(*pem_files)
     )
     await site.start()
-    trusted = ssl.create_default_context()
-    authority.configure_trust(trusted)
+    client_context = ssl.create_default_context()
+    authority.configure_trust(client_context)
     address = "https://{}:{}/healthz".format(*runner.addresses[0])
     try:
         async with (
             aiohttp.ClientSession() as session,
-            session.get(address, ssl=trusted) as answer,
+            session.get(address, ssl=client_context) as response,
         ):
-            assert answer.status == 200
+            assert response.status == 200
     finally:
         await runner.cleanup()
--- a/toucanrudder/admin/tls.py
+++ b/toucanrudder/admin/tls.py
@@ -1,4 +1,4 @@
-"""TLS of the admin port."""
+"""TLS context of the admin port."""
 
 import ssl
 
@@ -6,17 +6,17 @@
 
 
 def server_context(certificate: str, key: str) -> ssl.SSLContext | None:
-    """Return the TLS context of the admin port, or None without files.
+    """Return the TLS context of the admin port, or None without a certificate.
 
     Parameters
     ----------
     certificate, key : str
-        PEM files; both or neither.
+        Paths of PEM files; both or neither.
 
     Raises
     ------
     RudderError
-        ``settings_invalid`` when one is missing or cannot be used.
+        ``settings_invalid`` if a file is missing or cannot be used.
     """
     if not certificate and not key:
         return None
