--- a/toucanrudder/bench/command.py
+++ b/toucanrudder/bench/command.py
@@ -51,7 +51,7 @@
     short : bool
         Shorter runs, and fewer of them.
     """
-    daemon.use_no_io_uring()
+    daemon.disable_io_uring()
     logging.getLogger("asyncio").setLevel(logging.ERROR)
     if short:
         scenarios = scenarios or SHORT_SCENARIOS
--- a/toucanrudder/demo/run.py
+++ b/toucanrudder/demo/run.py
@@ -77,7 +77,7 @@
     int
         Exit status.
     """
-    daemon.use_no_io_uring()
+    daemon.disable_io_uring()
     logs.set_up("text", "warning")
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         good = runner.run(_serve() if serve else _show())
--- a/toucanrudder/demo/system.py
+++ b/toucanrudder/demo/system.py
@@ -151,8 +151,8 @@
         path = pathlib.Path(directory, f"{name}.ini")
         path.write_text(text, encoding="utf-8")
         conf = settings.load(str(path))
-    state = await stack.enter_async_context(assembly.built(conf))
-    listeners = await stack.enter_async_context(daemon.served(state))
+    state = await stack.enter_async_context(assembly.open_state(conf))
+    listeners = await stack.enter_async_context(daemon.serving(state))
     await state.configuration.configured.wait()
     return Router(
         name=name,
@@ -204,4 +204,4 @@
             document=document,
         )
         for router in routers:
-            await daemon.drained(router.state)
+            await daemon.drain(router.state)
--- a/toucanrudder/filters/deduplicate.py
+++ b/toucanrudder/filters/deduplicate.py
@@ -123,7 +123,7 @@
 ) -> Answer | errors.RudderError:
     # Counted separately, so that a graceful shutdown waits for this call
     # even if its caller has disconnected.
-    with exchange.state.exchanges.counted():
+    with exchange.state.exchanges.track():
         try:
             answer = await send(claim)
         except errors.RudderError as error:
--- a/toucanrudder/filters/engine_try.py
+++ b/toucanrudder/filters/engine_try.py
@@ -75,9 +75,7 @@
         with state.in_flight.track(self.upstream.name, entry):
             await self._relay(attempt, entry)
         if self.isolated:
-            state.suspicions.record_completion(
-                entry.fingerprint, state.wall_s()
-            )
+            state.suspects.record_completion(entry.fingerprint, state.wall_s())
         self._record_cache_hits(attempt)
         self._export()
 
@@ -96,7 +94,7 @@
             # engine's batch are still tracked as in flight: all of them
             # are suspects.
             if failure.kind in failures.PRESUMES_CRASH:
-                state.crashed(
+                state.record_crash(
                     self.upstream.name,
                     attempt.answered_by or self.decision.incarnation,
                 )
@@ -105,28 +103,32 @@
     async def _import(self, entry: in_flight.InFlightRequest) -> None:
         state = self.exchange.state
         store = self.exchange.document.policy.kv_store
-        if not store or state.kept is None or self.sequencer.last:
+        if not store or state.kv_transfers is None or self.sequencer.last:
             return
         load = state.loads.get(self.upstream.name)
-        plan = state.kept.plan_import(
+        plan = state.kv_transfers.plan_import(
             self.decision,
-            fleets.query_of(self.exchange.request),
+            fleets.placement_query(self.exchange.request),
             load.report.prefill_tokens_per_s if load else 0.0,
             state.now_s(),
         )
         if plan is not None:
-            tokens = await state.kept.import_blocks(self.upstream, plan, store)
+            tokens = await state.kv_transfers.import_blocks(
+                self.upstream, plan, store
+            )
             entry.prefill_tokens = max(0, entry.prefill_tokens - tokens)
 
     def _export(self) -> None:
         state = self.exchange.state
         store = self.exchange.document.policy.kv_store
-        if not store or state.kept is None:
+        if not store or state.kv_transfers is None:
             return
         keys = self.exchange.request.prefix_keys
-        hot_keys = state.kept.keys_to_export(keys, state.now_s())
+        hot_keys = state.kv_transfers.keys_to_export(keys, state.now_s())
         if hot_keys:
-            state.spawn(state.kept.export(self.upstream, hot_keys, store))
+            state.spawn(
+                state.kv_transfers.export(self.upstream, hot_keys, store)
+            )
 
     def _attempt(self, entry: in_flight.InFlightRequest) -> attempts.Attempt:
         state = self.exchange.state
@@ -185,7 +187,7 @@
 
     def _record_dispatch(self) -> None:
         state = self.exchange.state
-        state.beliefs.record_dispatch(
+        state.prefix_index.record_dispatch(
             self.upstream.name,
             self.decision.incarnation,
             self.exchange.request.prefix_keys,
@@ -201,10 +203,10 @@
             return
         state = self.exchange.state
         if attempt.answered_by != self.decision.incarnation:
-            state.beliefs.forget_replaced(
+            state.prefix_index.forget_replaced(
                 self.upstream.name, attempt.answered_by
             )
-        state.beliefs.record_answer(
+        state.prefix_index.record_answer(
             self.upstream.name,
             attempt.answered_by,
             self.exchange.request.prefix_keys,
--- a/toucanrudder/filters/guard.py
+++ b/toucanrudder/filters/guard.py
@@ -37,7 +37,7 @@
     exchange: exchanges.Exchange, call_next: chain.Handler
 ) -> web.StreamResponse:
     """Count the request as open, and turn errors into responses."""
-    with exchange.state.exchanges.counted():
+    with exchange.state.exchanges.track():
         try:
             return await call_next(exchange)
         except errors.RudderError as error:
--- a/toucanrudder/filters/model_call.py
+++ b/toucanrudder/filters/model_call.py
@@ -76,7 +76,7 @@
             # router, which must know of the crash, or the request could
             # crash another engine there.
             if self.crashes:
-                await self.exchange.state.tell_peers()
+                await self.exchange.state.broadcast_urgent()
             raise
 
     async def _run(self) -> None:
@@ -125,14 +125,14 @@
     async def _wait_for_trial(self) -> quarantine.Trial | None:
         state = self.exchange.state
         request = self.exchange.request
-        trial = state.trial(request, state.now_s())
+        trial = state.plan_trial(request, state.now_s())
         while trial is not None and trial.wait_s > 0:
             await state.sleep(trial.wait_s)
             # During the wait, a copy of the request may have crashed
             # another engine, or peers may have reported more suspects.
             # Raises if the request is quarantined by now.
             state.standing(request)
-            trial = state.trial(request, state.now_s())
+            trial = state.plan_trial(request, state.now_s())
         return trial
 
     def _untried(self, engines):
@@ -183,7 +183,7 @@
             self.crashes += 1
         if failure.kind is failures.Kind.REJECTED:
             raise RejectedError(failure)
-        exchange.state.unreachable(failure)
+        exchange.state.mark_unreachable(failure)
         step = self._decide(failure)
         if isinstance(step, retries.Refuse):
             raise errors.RudderError(
--- a/toucanrudder/filters/service.py
+++ b/toucanrudder/filters/service.py
@@ -133,7 +133,7 @@
     state = exchange.state
     now_s = state.now_s()
     usable = list(
-        state.usable(
+        state.usable_upstreams(
             (
                 upstream
                 for upstream in exchange.document.upstreams
@@ -325,7 +325,7 @@
         try:
             return await send(upstream)
         except failures.UpstreamFailure as failure:
-            state.unreachable(failure)
+            state.mark_unreachable(failure)
             # Once a try may have run the call, "not run" is wrong even if
             # later tries provably did not run it.
             if failure.kind not in failures.PROVES_NOT_RUN:
--- a/toucanrudder/router/admin_state.py
+++ b/toucanrudder/router/admin_state.py
@@ -95,17 +95,17 @@
 
     def quarantined() -> list[status.QuarantineStatus]:
         now_s = state.wall_s()
-        held = state.suspicions.quarantined(now_s)
+        held = state.suspects.quarantined(now_s)
         return [
-            _quarantined(each, state.suspicions.detail(each, now_s))
+            _quarantined(each, state.suspects.detail(each, now_s))
             for each in held
         ]
 
     async def release(fingerprint: str) -> bool:
         now_s = state.wall_s()
-        held = fingerprint in state.suspicions.quarantined(now_s)
+        held = fingerprint in state.suspects.quarantined(now_s)
         if held:
-            state.suspicions.release(fingerprint, now_s)
+            state.suspects.release(fingerprint, now_s)
         return held
 
     return admin_states.State(
--- a/toucanrudder/router/assembly.py
+++ b/toucanrudder/router/assembly.py
@@ -177,7 +177,9 @@
 
 
 @contextlib.asynccontextmanager
-async def built(conf: cfg.ConfigOpts) -> AsyncIterator[states.RouterState]:
+async def open_state(
+    conf: cfg.ConfigOpts,
+) -> AsyncIterator[states.RouterState]:
     """Yield the state of a router; close its clients afterwards.
 
     Parameters
@@ -221,8 +223,8 @@
         services=service.ServiceClient(sessions.fresh, connect_timeout_s),
         loads=load_table,
         in_flight=own,
-        beliefs=believed,
-        heat=hot,
+        prefix_index=believed,
+        prefix_rates=hot,
         fleet=fleet.Fleet(
             zone=conf.router.zone,
             policy_name=conf.policy.placement,
@@ -246,17 +248,17 @@
             ),
             rng=rng,
         ),
-        suspicions=quarantine.SuspectTracker(),
+        suspects=quarantine.SuspectTracker(),
         exchanges=exchanges.OpenExchanges(states.RouterState.now_s),
         background=background.Background(),
         routers=table,
-        kept=_kept_cache(conf, sessions, hot, table),
+        kv_transfers=_kv_transfers(conf, sessions, hot, table),
         peer_loads=others,
         instances=instances.InstanceTable(),
     )
 
 
-def _kept_cache(
+def _kv_transfers(
     conf: cfg.ConfigOpts,
     sessions: _Sessions,
     hot: request_rates.PrefixRates,
@@ -289,14 +291,14 @@
         state.loads,
         upstreams,
         state.conf.upstreams.load_interval_s,
-        on_restart=state.crashed,
-        presumed_dead=state.presumed_dead,
-        on_alive=state.alive,
+        on_restart=state.record_crash,
+        presumed_dead=state.is_presumed_dead,
+        on_alive=state.record_alive,
         rng=state.rng,
         clock=state.now_s,
     )
     events = cache_events.CacheEventController(
-        state.session, state.beliefs, upstreams, state.rng, state.now_s
+        state.session, state.prefix_index, upstreams, state.rng, state.now_s
     )
 
     holder = _weights_lease(state)
--- a/toucanrudder/router/daemon.py
+++ b/toucanrudder/router/daemon.py
@@ -30,10 +30,10 @@
 POOL_SIZE = 2
 
 #: Exit status when a second signal cut a planned stop short.
-EXIT_IMPATIENT = 70
+EXIT_FORCED = 70
 
 
-def collect_garbage_seldom() -> None:
+def tune_garbage_collector() -> None:
     """Keep the collector from stopping the relay for tens of milliseconds.
 
     A full collection walks every object of the imported libraries, and the
@@ -46,7 +46,7 @@
     gc.set_threshold(5_000, 20, 100)
 
 
-def use_no_io_uring() -> None:
+def disable_io_uring() -> None:
     """Keep libuv from opening a ring; call before the first loop exists."""
     os.environ["UV_USE_IO_URING"] = "0"
 
@@ -64,10 +64,10 @@
     RudderError
         ``settings_invalid``.
     """
-    use_no_io_uring()
+    disable_io_uring()
     conf = settings.load(settings_path)
     logs.set_up(conf.logging.format, conf.logging.level)
-    collect_garbage_seldom()
+    tune_garbage_collector()
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(serve(conf))
 
@@ -78,7 +78,7 @@
     def caught() -> None:
         if stop.is_set():
             LOG.warning("second signal: leaving at once")
-            os._exit(EXIT_IMPATIENT)
+            os._exit(EXIT_FORCED)
         stop.set()
 
     loop = asyncio.get_running_loop()
@@ -90,16 +90,16 @@
 async def serve(conf: cfg.ConfigOpts) -> None:
     """Serve in this loop; returns after a planned stop."""
     stop = _catch_signals()
-    async with assembly.built(conf) as state:
-        async with served(state) as listeners:
+    async with assembly.open_state(conf) as state:
+        async with serving(state) as listeners:
             _announce(listeners)
             await stop.wait()
-            await drained(state)
+            await drain(state)
         await state.background.drain(1.0)
     LOG.info("stopped")
 
 
-def listeners_of(
+def build_listeners(
     state: states.RouterState, peers: peerings.Peering
 ) -> dict[str, services.ListenService | peerings.PeerService]:
     """Return the router's listeners by the name of their address."""
@@ -125,12 +125,12 @@
 
 
 @contextlib.asynccontextmanager
-async def served(
+async def serving(
     state: states.RouterState,
 ) -> AsyncIterator[dict[str, services.ListenService | peerings.PeerService]]:
     """Run the controllers and listeners; yield the listeners."""
     peers = peering.peering(state)
-    listeners = listeners_of(state, peers)
+    listeners = build_listeners(state, peers)
     entrypoint = aiomisc.entrypoint(
         *assembly.controllers(state, peers),
         *listeners.values(),
@@ -147,7 +147,7 @@
     print(json.dumps({"ready": True, **addresses}), flush=True)
 
 
-async def drained(state: states.RouterState) -> None:
+async def drain(state: states.RouterState) -> None:
     """Wait until no request is open and no more are coming.
 
     The router first says that it is not ready and tells callers to close,
@@ -159,7 +159,7 @@
     conf = state.conf.router
     try:
         async with asyncio.timeout(conf.stop_timeout_s):
-            await state.exchanges.quiet(conf.drain_s)
+            await state.exchanges.wait_idle(conf.drain_s)
     except TimeoutError:
         LOG.warning("requests still open after stop_timeout_s")
     await state.claims.drain(conf.drain_s)
--- a/toucanrudder/router/exchanges.py
+++ b/toucanrudder/router/exchanges.py
@@ -20,7 +20,7 @@
         return self._open
 
     @contextlib.contextmanager
-    def counted(self) -> Iterator[None]:
+    def track(self) -> Iterator[None]:
         """Count one request for as long as the context is open."""
         self._open += 1
         self.last_arrival_s = self._clock()
@@ -30,7 +30,7 @@
             self._open -= 1
             self._changed.set()
 
-    async def quiet(self, for_s: float) -> None:
+    async def wait_idle(self, for_s: float) -> None:
         """Wait until nothing is open and nothing has come for `for_s`.
 
         A caller's pooled connection may bring a request just as the router
--- a/toucanrudder/router/fleet.py
+++ b/toucanrudder/router/fleet.py
@@ -86,7 +86,7 @@
         # would else take an engine each before any crash is known.
         rng = random.Random(request.body_sha256)
         context = types.Context(policy=policy, rng=rng)
-        query = query_of(request)
+        query = placement_query(request)
         return policies.decide(self._policy, fleet, query, context, now_s)
 
     def _view(
@@ -138,7 +138,7 @@
         )
 
 
-def query_of(request: requests.ModelRequest) -> types.Query:
+def placement_query(request: requests.ModelRequest) -> types.Query:
     """Return the part of a request that placement looks at."""
     return types.Query(
         request_id=request.request_id,
--- a/toucanrudder/router/peering.py
+++ b/toucanrudder/router/peering.py
@@ -36,8 +36,8 @@
         silent_s=settings.silent_s,
         rng=state.rng,
     )
-    state.hasten = client.exchange_soon
-    state.tell_peers = lambda: client.broadcast_urgent(TELL_WITHIN_S)
+    state.exchange_soon = client.exchange_soon
+    state.broadcast_urgent = lambda: client.broadcast_urgent(TELL_WITHIN_S)
     return peerings.Peering(node, client, credentials, settings.advertise)
 
 
@@ -48,14 +48,14 @@
         total_rate_per_s: float,
         now_s: float,
     ) -> None:
-        state.heat.update_peer(peer, prefixes, total_rate_per_s, now_s)
+        state.prefix_rates.update_peer(peer, prefixes, total_rate_per_s, now_s)
 
     return nodes.HeartbeatHooks(
         loads=lambda: _own_loads(state),
-        quarantine=state.suspicions.entries,
-        hot_prefixes=state.heat.hottest,
-        total_rate_per_s=state.heat.own_total_rate_per_s,
-        on_quarantine=state.suspicions.merge,
+        quarantine=state.suspects.entries,
+        hot_prefixes=state.prefix_rates.hottest,
+        total_rate_per_s=state.prefix_rates.own_total_rate_per_s,
+        on_quarantine=state.suspects.merge,
         on_hot_prefixes=hot,
         leaving=lambda: state.stopping,
     )
--- a/toucanrudder/router/state.py
+++ b/toucanrudder/router/state.py
@@ -68,7 +68,7 @@
     )
 
 
-async def _nobody_to_tell() -> None:
+async def _no_broadcast() -> None:
     return None
 
 
@@ -88,22 +88,22 @@
     services: service.ServiceClient
     loads: loads.LoadTable
     in_flight: in_flight.InFlightTable
-    beliefs: cache_index.PrefixCacheIndex
-    heat: request_rates.PrefixRates
+    prefix_index: cache_index.PrefixCacheIndex
+    prefix_rates: request_rates.PrefixRates
     fleet: fleet.Fleet
     admission: admission.AdmissionQueue
     limiter: admission.RateLimiter
     claims: claims.ClaimKeeper
-    suspicions: quarantine.SuspectTracker
+    suspects: quarantine.SuspectTracker
     exchanges: exchanges.OpenExchanges
     background: background.Background
     routers: routers.RouterTable
     peer_loads: peer_loads.PeerLoads
     instances: instances.InstanceTable
-    kept: kv_transfer.KVTransferController | None = None
+    kv_transfers: kv_transfer.KVTransferController | None = None
     stopping: bool = False
-    hasten: Callable[[], None] = lambda: None
-    tell_peers: Callable[[], Awaitable[None]] = _nobody_to_tell
+    exchange_soon: Callable[[], None] = lambda: None
+    broadcast_urgent: Callable[[], Awaitable[None]] = _no_broadcast
     _budgets: dict[str, retries.RetryBudget] = attrs.field(factory=dict)
     _indexed: _Index | None = None
 
@@ -192,7 +192,7 @@
             and self.loads.is_reachable(upstream.name)
         )
 
-    def usable(
+    def usable_upstreams(
         self, upstreams: Iterable[model.Upstream], now_s: float
     ) -> tuple[model.Upstream, ...]:
         """Return those of the upstreams that may be given new work.
@@ -220,7 +220,7 @@
         self, model_name: str, now_s: float
     ) -> tuple[model.Upstream, ...]:
         """Return the engines that may be given work for the model."""
-        return self.usable(self._configured_for(model_name), now_s)
+        return self.usable_upstreams(self._configured_for(model_name), now_s)
 
     def _configured_for(self, model_name: str) -> tuple[model.Upstream, ...]:
         return tuple(
@@ -254,7 +254,7 @@
         RudderError
             ``quarantined``: engines died of it; it is not tried again.
         """
-        standing = self.suspicions.standing(
+        standing = self.suspects.standing(
             fingerprint_of(request), self.wall_s()
         )
         if standing is quarantine.Standing.QUARANTINED:
@@ -266,7 +266,7 @@
             )
         return standing
 
-    def trial(
+    def plan_trial(
         self, request: requests.ModelRequest, now_s: float
     ) -> quarantine.Trial | None:
         """Return where and when a suspect may run."""
@@ -277,12 +277,12 @@
         fingerprint, wall_s = fingerprint_of(request), self.wall_s()
         # All routers rank over the same configuration; what each can use
         # at the moment differs and would send two suspects to one engine.
-        trial = self.suspicions.plan_trial(fingerprint, configured, wall_s)
+        trial = self.suspects.plan_trial(fingerprint, configured, wall_s)
         if trial is None or trial.upstream in usable:
             return trial
-        return self.suspicions.plan_trial(fingerprint, sorted(usable), wall_s)
+        return self.suspects.plan_trial(fingerprint, sorted(usable), wall_s)
 
-    def crashed(self, upstream: str, incarnation: str) -> None:
+    def record_crash(self, upstream: str, incarnation: str) -> None:
         """Note that an engine process died with our requests in it.
 
         Entries that were sent to a later process are none of this crash.
@@ -292,24 +292,22 @@
             for entry in self.in_flight.entries(upstream)
             if entry.incarnation in ("", incarnation)
         ]
-        self.suspicions.record_crash(
-            upstream, incarnation, there, self.wall_s()
-        )
-        self.beliefs.forget(upstream, incarnation)
+        self.suspects.record_crash(upstream, incarnation, there, self.wall_s())
+        self.prefix_index.forget(upstream, incarnation)
         # The caller's resend may meet another router at once.
-        self.hasten()
+        self.exchange_soon()
 
-    def presumed_dead(self, upstream: str, incarnation: str) -> bool:
+    def is_presumed_dead(self, upstream: str, incarnation: str) -> bool:
         """Whether the quarantine counts a crash of this engine process."""
-        return self.suspicions.is_presumed_dead(
+        return self.suspects.is_presumed_dead(
             upstream, incarnation, self.wall_s()
         )
 
-    def alive(self, upstream: str, incarnation: str) -> None:
+    def record_alive(self, upstream: str, incarnation: str) -> None:
         """Note that an engine process presumed dead has answered."""
-        self.suspicions.record_alive(upstream, incarnation, self.wall_s())
+        self.suspects.record_alive(upstream, incarnation, self.wall_s())
 
-    def unreachable(self, failure: failures.UpstreamFailure) -> None:
+    def mark_unreachable(self, failure: failures.UpstreamFailure) -> None:
         """Send nothing there until a poll gets through again."""
         if failure.connection_refused:
             self.loads.mark_unreachable(failure.upstream)
