--- a/toucanrudder/admin/changes.py
+++ b/toucanrudder/admin/changes.py
@@ -100,7 +100,7 @@
             generation_advanced = (
                 providers.current().generation > accepted.generation
             )
-            conflict = error.code is errors.Code.CONFIG_CONFLICT
-            if not (conflict and generation_advanced and attempts_left):
+            is_conflict = error.code is errors.Code.CONFIG_CONFLICT
+            if not (is_conflict and generation_advanced and attempts_left):
                 raise
     raise AssertionError("unreachable")
--- a/toucanrudder/admin/state.py
+++ b/toucanrudder/admin/state.py
@@ -15,7 +15,7 @@
     return ()
 
 
-async def _empty_async() -> tuple:
+async def _empty_from_store() -> tuple:
     return ()
 
 
@@ -25,7 +25,9 @@
 
 @attrs.frozen
 class State:
-    """Callables supplied by the daemon, called on each request.
+    """Identity and callables supplied by the daemon.
+
+    The callables are called on each request.
 
     Parameters
     ----------
@@ -44,7 +46,7 @@
         The same, but awaitable; they read the store and may raise
         `RudderError`.
     release : callable
-        ``await release(fingerprint)`` ends a quarantine on every router;
+        ``await release(fingerprint)`` ends a quarantine on every router and
         returns False if the fingerprint is not quarantined.
     metrics_page : callable
         Returns the metrics in the Prometheus text format.
@@ -58,10 +60,10 @@
     upstreams: Callable[[], Sequence[status.UpstreamStatus]] = _empty
     quarantined: Callable[[], Sequence[status.QuarantineStatus]] = _empty
     leases: Callable[[], Awaitable[Sequence[status.LeaseStatus]]] = (
-        _empty_async
+        _empty_from_store
     )
     unknown_claims: Callable[[], Awaitable[Sequence[status.ClaimStatus]]] = (
-        _empty_async
+        _empty_from_store
     )
     release: Callable[[str], Awaitable[bool]] = _not_quarantined
     metrics_page: Callable[[], bytes] = metrics.page
--- a/toucanrudder/admin/tests/test_application.py
+++ b/toucanrudder/admin/tests/test_application.py
@@ -156,18 +156,18 @@
 
 
 @pytest.mark.parametrize(
-    ("method", "path", "body", "code", "expected_text"), CALLS
+    ("method", "path", "body", "expected_status", "expected_text"), CALLS
 )
 async def test_calls_return_the_expected_status_and_text(
-    client, method, path, body, code, expected_text
+    client, method, path, body, expected_status, expected_text
 ):
     response = await client.request(
         method, path, json=body, headers=AUTHORISED
     )
     text = await response.text()
-    assert response.status == code, text
+    assert response.status == expected_status, text
     assert expected_text in text
-    if code >= 400:
+    if expected_status >= 400:
         jsonschema.validate(json.loads(text), schemas.ERROR)
 
 
@@ -216,20 +216,20 @@
         for route in client.app.router.routes()
         if route.method != "HEAD"
     }
-    listed = {
+    described_routes = {
         (method.upper(), path)
         for path, calls in description["paths"].items()
         for method in calls
     }
-    assert listed == routes - {("GET", "/openapi.json")}
+    assert described_routes == routes - {("GET", "/openapi.json")}
 
 
 @pytest.mark.parametrize(
-    ("method", "path", "body", "code", "expected_text"),
+    ("method", "path", "body", "expected_status", "expected_text"),
     [call for call in CALLS if call[3] == 200 and call[1] != "/metrics"],
 )
 async def test_responses_match_their_schema(
-    client, method, path, body, code, expected_text
+    client, method, path, body, expected_status, expected_text
 ):
     response = await client.request(
         method, path, json=body, headers=AUTHORISED
--- a/toucanrudder/admin/tests/test_tls.py
+++ b/toucanrudder/admin/tests/test_tls.py
@@ -25,7 +25,7 @@
     return str(certificate), str(key)
 
 
-def test_no_files_mean_no_tls():
+def test_no_tls_context_without_files():
     assert tls.server_context("", "") is None
 
 
@@ -45,7 +45,7 @@
     assert "tls_certificate" in str(caught.value)
 
 
-async def test_the_admin_api_over_tls(authority, pem_files):
+async def test_admin_api_is_served_over_tls(authority, pem_files):
     async def apply(*_: object) -> None:
         raise AssertionError("not called")
 
