--- a/toucanrudder/http1/server.py
+++ b/toucanrudder/http1/server.py
@@ -285,7 +285,7 @@
         while self._task is None and not self._closed:
             event = self._http.next_event()
             if event is h11.NEED_DATA:
-                self._send_continue()
+                self._send_continue_if_expected()
                 return
             if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                 return
@@ -298,7 +298,7 @@
             elif isinstance(event, h11.EndOfMessage):
                 self._start_handler()
 
-    def _send_continue(self) -> None:
+    def _send_continue_if_expected(self) -> None:
         if self._http.they_are_waiting_for_100_continue:
             response = h11.InformationalResponse(status_code=100, headers=[])
             self._transport.write(self._http.send(response))
--- a/toucanrudder/http1/tests/test_client.py
+++ b/toucanrudder/http1/tests/test_client.py
@@ -113,7 +113,7 @@
 @pytest.mark.parametrize(
     ("answer", "fault"), BROKEN.values(), ids=BROKEN.keys()
 )
-async def test_broken_answers_never_look_whole(answer, fault):
+async def test_broken_answers_are_never_taken_as_complete(answer, fault):
     async with running_upstream(answer) as upstream:
         connection = await client.connect(upstream.address, 5)
         with pytest.raises(client.ExchangeError) as caught:
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize("data", NOT_KEPT.values(), ids=NOT_KEPT.keys())
-async def test_spoilt_connections_are_not_used_again(data):
+async def test_unusable_connections_are_not_reused(data):
     # A faulty upstream sends more than one response.  If the connection were
     # reused, the next caller would receive the rest as its response.
     connections = pool.ConnectionPool()
@@ -207,7 +207,7 @@
         connections.close()
 
 
-async def test_a_late_answer_spoils_an_idle_connection():
+async def test_a_late_answer_closes_an_idle_connection():
     # An extra response arrives while the connection is idle in the pool.  The
     # connection must be closed, or the next request would read that response.
     late = asyncio.Event()
@@ -359,7 +359,7 @@
     server.close()
 
 
-def test_a_reset_that_comes_with_the_data_is_no_end():
+def test_a_reset_received_with_data_is_not_a_normal_end():
     # An upstream sends part of a body without a length and resets.  The event
     # loop is busy, so it finds data and reset together; libuv then reports
     # the data and an ordinary end of the stream.  The caller must not receive
@@ -398,7 +398,7 @@
 @pytest.mark.parametrize(
     "loop_factory", [uvloop.new_event_loop, asyncio.new_event_loop]
 )
-def test_an_abandoned_request_is_never_read_whole(loop_factory):
+def test_an_aborted_request_is_never_received_completely(loop_factory):
     # The upstream reads nothing, so its receive window is full at the abort.
     body = b"x" * 1_000_000
     head = message.RequestHead(
--- a/toucanrudder/http1/tests/test_server.py
+++ b/toucanrudder/http1/tests/test_server.py
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("data", MALFORMED.values(), ids=MALFORMED.keys())
-async def test_malformed_requests_run_nothing(data):
+async def test_malformed_requests_do_not_reach_the_handler(data):
     # The caller receives a 400 of this server and a closed connection; another
     # program on the path could parse such bytes as two requests.
     async with running_server() as recording:
