--- a/toucanrudder/filters/model_call.py
+++ b/toucanrudder/filters/model_call.py
@@ -116,7 +116,7 @@
             if trial is not None:
                 return _trial_decision(state, trial), True
         now_s = state.now_s()
-        engines = state.engines_for(request.model, now_s)
+        engines = state.usable_engines(request.model, now_s)
         # A retry uses an engine that was not tried yet, if there is one.
         engines = self._untried(engines) or engines
         decision = state.place(request, engines, now_s)
--- a/toucanrudder/router/admin_state.py
+++ b/toucanrudder/router/admin_state.py
@@ -1,4 +1,4 @@
-"""What the admin API is told of this router."""
+"""Adapts the router's state to the admin API."""
 
 import ssl
 
@@ -22,31 +22,31 @@
     )
 
 
-def _upstream(
+def _upstream_status(
     state: states.RouterState, upstream: model.Upstream, now_s: float
 ) -> status.UpstreamStatus:
-    known = state.loads.get(upstream.name)
-    report = known.report if known else None
+    received = state.loads.get(upstream.name)
+    report = received.report if received else None
     reachable = state.loads.is_healthy(upstream.name, now_s)
-    unknown = "unknown" if reachable else "unreachable"
-    told = report.state if report and reachable else unknown
-    if state.instances.is_leaving(upstream.name, told):
-        told = instances.LEAVING
+    fallback = "unknown" if reachable else "unreachable"
+    shown = report.state if report and reachable else fallback
+    if state.instances.is_leaving(upstream.name, shown):
+        shown = instances.LEAVING
     return status.UpstreamStatus(
         name=upstream.name,
         kind=upstream.kind,
         zone=upstream.zone,
-        state=told,
+        state=shown,
         drained=upstream.drained,
         incarnation=report.incarnation if report else "",
         running=report.running if report else 0,
         waiting=report.waiting if report else 0,
         own_in_flight=state.in_flight.request_count(upstream.name),
-        report_age_s=now_s - known.received_s if known else None,
+        report_age_s=now_s - received.received_s if received else None,
     )
 
 
-def _routers(
+def _router_statuses(
     state: states.RouterState, node: nodes.Node, now_s: float
 ) -> list[status.RouterStatus]:
     own = status.RouterStatus(
@@ -70,7 +70,7 @@
     return [own, *others]
 
 
-def _quarantined(
+def _quarantine_status(
     fingerprint: str, detail: quarantine.Detail
 ) -> status.QuarantineStatus:
     return status.QuarantineStatus(
@@ -89,31 +89,33 @@
             return []
         now_s = state.now_s()
         return [
-            _upstream(state, each, now_s)
-            for each in state.document().upstreams
+            _upstream_status(state, upstream, now_s)
+            for upstream in state.document().upstreams
         ]
 
     def quarantined() -> list[status.QuarantineStatus]:
         now_s = state.wall_s()
-        held = state.suspects.quarantined(now_s)
+        fingerprints = state.suspects.quarantined(now_s)
         return [
-            _quarantined(each, state.suspects.detail(each, now_s))
-            for each in held
+            _quarantine_status(
+                fingerprint, state.suspects.detail(fingerprint, now_s)
+            )
+            for fingerprint in fingerprints
         ]
 
     async def release(fingerprint: str) -> bool:
         now_s = state.wall_s()
-        held = fingerprint in state.suspects.quarantined(now_s)
-        if held:
+        is_quarantined = fingerprint in state.suspects.quarantined(now_s)
+        if is_quarantined:
             state.suspects.release(fingerprint, now_s)
-        return held
+        return is_quarantined
 
     return admin_states.State(
         router=state.conf.router.name,
         token=state.conf.admin.token,
         current=lambda: state.configuration.current,
         apply=state.configuration.apply,
-        routers=lambda: _routers(state, node, state.now_s()),
+        routers=lambda: _router_statuses(state, node, state.now_s()),
         leases=lambda: stored.leases(state.objects, timeout_s),
         unknown_claims=lambda: stored.unknown_claims(
             state.objects, state.claims.limits, timeout_s, state.wall_s()
--- a/toucanrudder/router/application.py
+++ b/toucanrudder/router/application.py
@@ -1,4 +1,4 @@
-"""The HTTP application that callers see."""
+"""HTTP application that serves the callers."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 from toucanrudder.filters import service
 from toucanrudder.router import state as states
 
-#: aiohttp's own bounds on a request's head.
+#: Default bounds of aiohttp on the head of a request.
 MAX_LINE_BYTES = 8190
 MAX_FIELD_BYTES = 8190
 
@@ -55,8 +55,8 @@
         )
         response = await handle(exchange)
         if state.stopping and not response.prepared:
-            # Told to close, a caller opens its next connection at a router
-            # that stays.
+            # The caller then opens its next connection to a router that is
+            # not stopping.
             response.force_close()
         return response
 
@@ -64,7 +64,7 @@
 
 
 def build(state: states.RouterState) -> web.Application:
-    """Return the callers' application.
+    """Return the application that serves the callers.
 
     Parameters
     ----------
@@ -83,7 +83,7 @@
             return web.Response(status=503, text="not ready\n")
         return web.Response(text="ok\n")
 
-    # Bodies are read, and bounded, by the filters.
+    # The filters read the bodies and enforce their size limits.
     app = web.Application(client_max_size=0)
     run_model = handler(MODEL_FILTERS, dispatch.dispatch)
     app.router.add_post("/v1/chat/completions", run_model)
--- a/toucanrudder/router/assembly.py
+++ b/toucanrudder/router/assembly.py
@@ -39,19 +39,21 @@
 from toucanrudder.upstreams import loads
 from toucanrudder.upstreams import service
 
-#: Work let through beyond the engines' slots, so that an engine which has
-#: just freed a slot finds its next request there.
+#: Requests admitted per slot of the engines.  More than one, so that an
+#: engine that frees a slot has its next request already queued.
 ADMISSION_FACTOR = 2.0
 
-#: Routers that look whether a lease is free.
+#: Number of live routers that compete for a lease.
 LEASE_CANDIDATES = 3
 
-#: Until the engines are known, this much is let through.
-FIRST_CAPACITY = 256
+#: Requests admitted at once before a configuration names the engines.
+INITIAL_CAPACITY = 256
 
 
 @attrs.frozen
 class _Sessions:
+    """HTTP clients with pooled connections and with one per request."""
+
     shared: aiohttp.ClientSession
     fresh: aiohttp.ClientSession
 
@@ -94,28 +96,33 @@
     name = state.conf.router.name
 
     def is_candidate() -> bool:
-        # A few are enough to replace a holder that has died; 400 looking
-        # at one object would cost the store more than all else.
-        live = [each.name for each in state.routers.live(state.now_s())]
+        # A few candidates are enough to replace a dead holder.  Polling of
+        # one object by 400 routers would be most of the store's load.
+        live = [router.name for router in state.routers.live(state.now_s())]
         return name in sorted([*live, name])[:LEASE_CANDIDATES]
 
-    def engines() -> list[loads.ReceivedReport]:
-        known = map(state.loads.get, _engine_names(state))
-        return [each for each in known if each]
+    def engine_reports() -> list[loads.ReceivedReport]:
+        reports = map(state.loads.get, _engine_names(state))
+        return [report for report in reports if report]
 
-    def hears_engines() -> bool:
+    def has_recent_report() -> bool:
         oldest_s = state.now_s() - weight_controllers.MAX_REPORT_AGE_S
-        return any(each.received_s >= oldest_s for each in engines())
+        return any(
+            received.received_s >= oldest_s for received in engine_reports()
+        )
 
     def highest_fencing() -> int:
-        return max((each.report.fencing for each in engines()), default=0)
+        return max(
+            (received.report.fencing for received in engine_reports()),
+            default=0,
+        )
 
     return holders.LeaseHolder(
         state.objects,
         weight_controllers.LEASE,
         f"{name}.{uuid.uuid4().hex}",
         is_candidate=is_candidate,
-        can_act=hears_engines,
+        can_act=has_recent_report,
         fencing_floor=highest_fencing,
         timeout_s=state.conf.store.timeout_s,
         rng=state.rng,
@@ -131,7 +138,7 @@
 
 
 def capacity(document: model.Document, routers: int) -> int:
-    """Return the requests that one of `routers` may let through at once.
+    """Return how many requests one of `routers` may admit at once.
 
     Parameters
     ----------
@@ -157,22 +164,25 @@
 
 
 def claim_retention_s(document: model.Document) -> float:
-    """Return for how long a claim is kept: no call outlasts its claim.
+    """Return for how long a claim is kept, so that no call outlasts it.
 
-    The document's own bound may be shorter than a call may take, and a
-    claim that ends under its run lets a resend run beside it.
+    The retention set in the document may be shorter than the timeout of a
+    service.  If a claim expired during its call, a resend of the request
+    would run a second time.
 
     Parameters
     ----------
     document : model.Document
-        Names the services and the time that each may take.
+        Names the services and their timeouts.
 
     Returns
     -------
     float
         Seconds.
     """
-    longest_s = max((each.timeout_s for each in document.services), default=0)
+    longest_s = max(
+        (service.timeout_s for service in document.services), default=0
+    )
     return max(document.policy.claim_retention_s, longest_s)
 
 
@@ -185,24 +195,24 @@
     Parameters
     ----------
     conf : oslo_config.cfg.ConfigOpts
-        Checked settings.
+        Validated settings.
     """
     async with _sessions() as sessions:
-        yield _state(conf, sessions)
+        yield _build_state(conf, sessions)
 
 
-def _state(conf, sessions: _Sessions) -> states.RouterState:
+def _build_state(conf, sessions: _Sessions) -> states.RouterState:
     rng = _random(conf.policy.seed)
     objects = http_store.HttpObjectStore(
         conf.store.address, sessions.shared, sessions.fresh
     )
     load_table = loads.LoadTable()
-    own = in_flight.InFlightTable()
-    believed = cache_index.PrefixCacheIndex()
-    hot = request_rates.PrefixRates()
-    others = peer_loads.PeerLoads(conf.peers.silent_s)
+    in_flight_table = in_flight.InFlightTable()
+    prefix_index = cache_index.PrefixCacheIndex()
+    prefix_rates = request_rates.PrefixRates()
+    peer_load_table = peer_loads.PeerLoads(conf.peers.silent_s)
     connect_timeout_s = conf.upstreams.connect_timeout_s
-    table = routers.RouterTable(conf.peers.silent_s)
+    router_table = routers.RouterTable(conf.peers.silent_s)
     return states.RouterState(
         conf=conf,
         rng=rng,
@@ -222,20 +232,20 @@
         ),
         services=service.ServiceClient(sessions.fresh, connect_timeout_s),
         loads=load_table,
-        in_flight=own,
-        prefix_index=believed,
-        prefix_rates=hot,
+        in_flight=in_flight_table,
+        prefix_index=prefix_index,
+        prefix_rates=prefix_rates,
         fleet=fleet.Fleet(
             zone=conf.router.zone,
             policy_name=conf.policy.placement,
             load_table=load_table,
-            own=own,
-            believed=believed,
-            hot=hot,
-            others=others,
+            in_flight_table=in_flight_table,
+            prefix_index=prefix_index,
+            prefix_rates=prefix_rates,
+            peer_load_table=peer_load_table,
         ),
         admission=admission.AdmissionQueue(
-            FIRST_CAPACITY, conf.router.max_queued
+            INITIAL_CAPACITY, conf.router.max_queued
         ),
         limiter=admission.RateLimiter(),
         claims=claims.ClaimKeeper(
@@ -251,9 +261,9 @@
         suspects=quarantine.SuspectTracker(),
         exchanges=exchanges.OpenExchanges(states.RouterState.now_s),
         background=background.Background(),
-        routers=table,
-        kv_transfers=_kv_transfers(conf, sessions, hot, table),
-        peer_loads=others,
+        routers=router_table,
+        kv_transfers=_kv_transfers(conf, sessions, prefix_rates, router_table),
+        peer_loads=peer_load_table,
         instances=instances.InstanceTable(),
     )
 
@@ -261,27 +271,28 @@
 def _kv_transfers(
     conf: cfg.ConfigOpts,
     sessions: _Sessions,
-    hot: request_rates.PrefixRates,
-    table: routers.RouterTable,
+    prefix_rates: request_rates.PrefixRates,
+    router_table: routers.RouterTable,
 ) -> kv_transfer.KVTransferController | None:
     if conf.policy.placement != "toucanrudder":
-        # The baselines are what users run otherwise: they keep nothing.
+        # The other policies are baselines for comparison: the routers that
+        # users would run instead, which export no KV cache.
         return None
     name = conf.router.name
     now_s = states.RouterState.now_s
 
-    def live() -> set[str]:
-        return {name, *(member.name for member in table.live(now_s()))}
+    def live_names() -> set[str]:
+        return {name, *(member.name for member in router_table.live(now_s()))}
 
     return kv_transfer.KVTransferController(
-        sessions.shared, name, hot, live, now_s
+        sessions.shared, name, prefix_rates, live_names, now_s
     )
 
 
 def controllers(
     state: states.RouterState, peers: peerings.Peering
 ) -> tuple[tasks.TaskService, ...]:
-    """Return the tasks that keep the state."""
+    """Return the tasks that keep the state up to date."""
 
     def upstreams() -> tuple[model.Upstream, ...]:
         return _configured_upstreams(state.configuration)
@@ -329,7 +340,7 @@
             ("peers", peers.run),
             ("lease", holder.run),
             ("weights", weight_controller.run),
-            ("capacity", lambda: _share_capacity(state)),
+            ("capacity", lambda: _update_capacity(state)),
             ("claims", _reaper(state).run),
         )
     )
@@ -339,28 +350,29 @@
     def retention_s() -> float:
         return claim_retention_s(state.document())
 
-    def live() -> list[str]:
-        return [each.name for each in state.routers.live(state.now_s())]
+    def live_names() -> list[str]:
+        return [router.name for router in state.routers.live(state.now_s())]
 
     return reaper.Reaper(
         state.objects,
         retention_s,
-        reaper.least_name_election(state.conf.router.name, live),
+        reaper.least_name_election(state.conf.router.name, live_names),
         timeout_s=state.conf.store.timeout_s,
         rng=state.rng,
     )
 
 
-async def _share_capacity(state: states.RouterState) -> None:
+async def _update_capacity(state: states.RouterState) -> None:
     """Keep this router's share of the engines' slots up to date."""
 
-    def share(accepted: model.Accepted) -> None:
+    def update(accepted: model.Accepted) -> None:
         live = state.live_routers(state.now_s())
         state.admission.capacity = capacity(accepted.document, live)
 
-    state.configuration.subscribe(share)
+    state.configuration.subscribe(update)
     while True:
-        # Routers come and go without a change of the configuration.
+        # The number of live routers changes without a change of the
+        # configuration.
         await asyncio.sleep(state.conf.peers.interval_s)
         if state.configuration.current is not None:
-            share(state.configuration.current)
+            update(state.configuration.current)
--- a/toucanrudder/router/background.py
+++ b/toucanrudder/router/background.py
@@ -1,4 +1,4 @@
-"""Tasks that outlive the request which started them."""
+"""Tasks that outlive the request that started them."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -10,8 +10,8 @@
 class Background:
     """Keeps references to tasks and logs their failures.
 
-    The event loop holds tasks weakly: one that nobody refers to may be
-    collected before it ends.
+    The event loop keeps only weak references to tasks, so that a task
+    without another reference may be garbage-collected before it ends.
     """
 
     def __init__(self):
@@ -21,15 +21,15 @@
         """Run the coroutine as a task."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._on_done)
         return task
 
-    def _done(self, task: asyncio.Task) -> None:
+    def _on_done(self, task: asyncio.Task) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             LOG.error("background task failed", exc_info=task.exception())
 
     async def drain(self, timeout_s: float) -> None:
-        """Wait for the tasks that run now, for a bounded time."""
+        """Wait up to `timeout_s` for the tasks that are running now."""
         if self._tasks:
             await asyncio.wait(set(self._tasks), timeout=timeout_s)
--- a/toucanrudder/router/daemon.py
+++ b/toucanrudder/router/daemon.py
@@ -26,20 +26,20 @@
 
 LOG = logging.getLogger(__name__)
 
-#: Threads are needed for checks of documents only.
+#: Threads are needed only for the validation of documents.
 POOL_SIZE = 2
 
-#: Exit status when a second signal cut a planned stop short.
+#: Exit status after a second signal during a planned stop.
 EXIT_FORCED = 70
 
 
 def tune_garbage_collector() -> None:
-    """Keep the collector from stopping the relay for tens of milliseconds.
+    """Avoid pauses of the relay by tens of milliseconds in the collector.
 
-    A full collection walks every object of the imported libraries, and the
-    default thresholds start one every few hundred requests: each stream
-    stands still meanwhile.  What exists at start is never garbage, so it
-    is taken out, and full collections become rare.
+    A full collection traverses every object of the imported libraries, and
+    the default thresholds start one every few hundred requests.  All
+    streams stall meanwhile.  Objects that exist at start never become
+    garbage, so they are frozen, and full collections are made rare.
     """
     gc.collect()
     gc.freeze()
@@ -47,7 +47,7 @@
 
 
 def disable_io_uring() -> None:
-    """Keep libuv from opening a ring; call before the first loop exists."""
+    """Keep libuv from using io_uring.  Call before creating any loop."""
     os.environ["UV_USE_IO_URING"] = "0"
 
 
@@ -75,24 +75,24 @@
 def _catch_signals() -> asyncio.Event:
     stop = asyncio.Event()
 
-    def caught() -> None:
+    def on_signal() -> None:
         if stop.is_set():
-            LOG.warning("second signal: leaving at once")
+            LOG.warning("second signal: exiting at once")
             os._exit(EXIT_FORCED)
         stop.set()
 
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, caught)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, on_signal)
     return stop
 
 
 async def serve(conf: cfg.ConfigOpts) -> None:
-    """Serve in this loop; returns after a planned stop."""
+    """Serve in the running loop until a planned stop is complete."""
     stop = _catch_signals()
     async with assembly.open_state(conf) as state:
         async with serving(state) as listeners:
-            _announce(listeners)
+            _print_ready_line(listeners)
             await stop.wait()
             await drain(state)
         await state.background.drain(1.0)
@@ -102,7 +102,7 @@
 def build_listeners(
     state: states.RouterState, peers: peerings.Peering
 ) -> dict[str, services.ListenService | peerings.PeerService]:
-    """Return the router's listeners by the name of their address."""
+    """Return the router's listeners by their key in the ready line."""
     conf = state.conf.router
     admin = admin_application.build(admin_state.providers(state, peers.node))
     return {
@@ -142,17 +142,19 @@
         yield listeners
 
 
-def _announce(listeners: dict[str, services.ListenService]) -> None:
-    addresses = {name: each.address for name, each in listeners.items()}
+def _print_ready_line(listeners: dict[str, services.ListenService]) -> None:
+    addresses = {
+        name: listener.address for name, listener in listeners.items()
+    }
     print(json.dumps({"ready": True, **addresses}), flush=True)
 
 
 async def drain(state: states.RouterState) -> None:
     """Wait until no request is open and no more are coming.
 
-    The router first says that it is not ready and tells callers to close,
-    but goes on serving whatever still arrives: refusing or cutting those
-    requests is what a planned stop must not do.
+    The router first reports that it is not ready and asks callers to close
+    their connections, but still serves requests that arrive: a planned stop
+    must neither refuse nor cut a request.
     """
     LOG.info("stopping")
     state.stopping = True
--- a/toucanrudder/router/exchanges.py
+++ b/toucanrudder/router/exchanges.py
@@ -1,4 +1,4 @@
-"""Requests that are open at this router."""
+"""Count of the requests that are open at this router."""
 
 import asyncio
 from collections.abc import Iterator
@@ -16,7 +16,7 @@
 
     @property
     def open(self) -> int:
-        """Requests open now."""
+        """Number of open requests."""
         return self._open
 
     @contextlib.contextmanager
@@ -30,19 +30,19 @@
             self._open -= 1
             self._changed.set()
 
-    async def wait_idle(self, for_s: float) -> None:
-        """Wait until nothing is open and nothing has come for `for_s`.
+    async def wait_idle(self, idle_s: float) -> None:
+        """Wait until no request is open and none has arrived for `idle_s`.
 
-        A caller's pooled connection may bring a request just as the router
-        decides to leave; leaving only after a quiet time, in which answers
-        have told callers to close, is what keeps such requests whole.
+        A request may arrive on a caller's pooled connection just as the
+        router stops.  An idle time, during which responses ask callers to
+        close their connections, keeps such requests from being cut.
         """
         while True:
             since_s = self._clock() - self.last_arrival_s
-            if self._open == 0 and since_s >= for_s:
+            if self._open == 0 and since_s >= idle_s:
                 return
             self._changed.clear()
-            wait_s = max(0.01, for_s - since_s) if self._open == 0 else 1.0
+            wait_s = max(0.01, idle_s - since_s) if self._open == 0 else 1.0
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
                     await self._changed.wait()
--- a/toucanrudder/router/fleet.py
+++ b/toucanrudder/router/fleet.py
@@ -1,4 +1,4 @@
-"""Joins what is known of engines into the view that placement needs."""
+"""Builds the view of the engines that placement decides on."""
 
 import random
 
@@ -16,24 +16,24 @@
 
 
 class Fleet:
-    """Engines as this router sees them.
+    """View of the engines from load reports, requests and cache contents.
 
     Parameters
     ----------
     zone : str
         This router's availability zone.
     policy_name : str
-        Placement policy by its name in the settings.
+        Name of the placement policy, as in the settings.
     load_table : loads.LoadTable
-        Reports.
-    own : in_flight.InFlightTable
-        This router's own work.
-    believed : cache_index.PrefixCacheIndex
-        Where prefixes are believed cached.
-    hot : request_rates.PrefixRates
-        Rates of prefixes.
-    others : peer_loads.PeerLoads
-        Other routers' work.
+        Load reports of the engines.
+    in_flight_table : in_flight.InFlightTable
+        Requests that this router has in flight.
+    prefix_index : cache_index.PrefixCacheIndex
+        Prefixes that each engine is expected to have cached.
+    prefix_rates : request_rates.PrefixRates
+        Request rates of prefixes.
+    peer_load_table : peer_loads.PeerLoads
+        Requests that other routers have in flight.
     """
 
     def __init__(
@@ -42,18 +42,18 @@
         zone: str,
         policy_name: str,
         load_table: loads.LoadTable,
-        own: in_flight.InFlightTable,
-        believed: cache_index.PrefixCacheIndex,
-        hot: request_rates.PrefixRates,
-        others: peer_loads.PeerLoads,
+        in_flight_table: in_flight.InFlightTable,
+        prefix_index: cache_index.PrefixCacheIndex,
+        prefix_rates: request_rates.PrefixRates,
+        peer_load_table: peer_loads.PeerLoads,
     ):
         self._zone = zone
         self._policy = policies.by_name(policy_name)
         self._loads = load_table
-        self._own = own
-        self._beliefs = believed
-        self._heat = hot
-        self._others = others
+        self._in_flight = in_flight_table
+        self._prefix_index = prefix_index
+        self._prefix_rates = prefix_rates
+        self._peer_loads = peer_load_table
 
     def decide(
         self,
@@ -64,26 +64,27 @@
         routers: int,
         now_s: float,
     ) -> types.Decision:
-        """Choose among `engines`; errors as `policies.decide`."""
-        ahead_share = self._own.ahead_share(int(request.priority))
+        """Choose one of `engines`; raises what `policies.decide` raises."""
+        ahead_share = self._in_flight.ahead_share(int(request.priority))
         views = tuple(
             attrs.evolve(
-                self._view(each, request, now_s), ahead_share=ahead_share
+                self._view(engine, request, now_s), ahead_share=ahead_share
             )
-            for each in engines
+            for engine in engines
         )
         keys = request.prefix_keys
-        self._heat.add(keys, now_s)
+        self._prefix_rates.add(keys, now_s)
         fleet = types.FleetView(
             upstreams=views,
             zone=self._zone,
             routers=routers,
-            prefix_rates=self._heat.rates(keys, now_s),
-            total_rate_per_s=self._heat.total_rate_per_s(now_s),
+            prefix_rates=self._prefix_rates.rates(keys, now_s),
+            total_rate_per_s=self._prefix_rates.total_rate_per_s(now_s),
         )
-        # Ties fall alike on all routers for equal bodies.  Copies of a
-        # request that crashes engines, sent to several routers at once,
-        # would else take an engine each before any crash is known.
+        # Seeded by the body, so that all routers break ties alike for equal
+        # bodies.  Otherwise copies of a request that crashes engines, sent
+        # to several routers at once, would each crash another engine before
+        # any crash is known.
         rng = random.Random(request.body_sha256)
         context = types.Context(policy=policy, rng=rng)
         query = placement_query(request)
@@ -95,12 +96,12 @@
         request: requests.ModelRequest,
         now_s: float,
     ) -> types.UpstreamView:
-        known = self._loads.get(upstream.name)
-        own_requests = self._own.request_count(upstream.name)
-        own_tokens = self._own.prefill_tokens(upstream.name)
-        peer_requests = self._others.requests(upstream.name, now_s)
-        peer_tokens = self._others.prefill_tokens(upstream.name, now_s)
-        if known is None:
+        received = self._loads.get(upstream.name)
+        own_requests = self._in_flight.request_count(upstream.name)
+        own_tokens = self._in_flight.prefill_tokens(upstream.name)
+        peer_requests = self._peer_loads.requests(upstream.name, now_s)
+        peer_tokens = self._peer_loads.prefill_tokens(upstream.name, now_s)
+        if received is None:
             return types.UpstreamView(
                 name=upstream.name,
                 zone=upstream.zone,
@@ -113,7 +114,7 @@
                 peer_prefill_tokens=peer_tokens,
                 reported_at_s=now_s,
             )
-        report = known.report
+        report = received.report
         return types.UpstreamView(
             name=upstream.name,
             zone=upstream.zone,
@@ -124,22 +125,22 @@
             waiting=report.waiting,
             queued_prefill_tokens=report.queued_prefill_tokens,
             prefill_tokens_per_s=report.prefill_tokens_per_s,
-            reported_at_s=known.received_s,
+            reported_at_s=received.received_s,
             own_in_flight=own_requests,
             own_prefill_tokens=own_tokens,
             peer_in_flight=peer_requests,
             peer_prefill_tokens=peer_tokens,
-            expected_cached_tokens=self._beliefs.expected_cached_tokens(
+            expected_cached_tokens=self._prefix_index.expected_cached_tokens(
                 upstream.name, report.incarnation, request.prefix_keys, now_s
             ),
-            computed_share=self._beliefs.computed_share(
+            computed_share=self._prefix_index.computed_share(
                 upstream.name, report.incarnation
             ),
         )
 
 
 def placement_query(request: requests.ModelRequest) -> types.Query:
-    """Return the part of a request that placement looks at."""
+    """Return the parts of a request that placement needs."""
     return types.Query(
         request_id=request.request_id,
         organisation=request.organisation,
--- a/toucanrudder/router/peering.py
+++ b/toucanrudder/router/peering.py
@@ -1,4 +1,4 @@
-"""A router's part among its peers, built from its state."""
+"""Builds the peering of a router from its state."""
 
 import time
 
@@ -10,12 +10,12 @@
 from toucanrudder.prefix import request_rates
 from toucanrudder.router import state as states
 
-#: Longest time for which an answer waits until peers know of a crash.
-TELL_WITHIN_S = 1.0
+#: Longest time for which an answer is delayed to inform peers of a crash.
+BROADCAST_TIMEOUT_S = 1.0
 
 
 def peering(state: states.RouterState) -> peerings.Peering:
-    """Return the peering of a router, and let its state know of it."""
+    """Return the peering of a router and set the state's hooks to it."""
     settings = state.conf.peers
     credentials = peer_credentials.from_settings(settings)
     node = nodes.Node(
@@ -24,7 +24,7 @@
         state.routers,
         state.peer_loads,
         lambda: state.configuration.current,
-        _sources(state),
+        _heartbeat_hooks(state),
         state.rng,
     )
     client = peer_clients.PeerClient(
@@ -37,12 +37,14 @@
         rng=state.rng,
     )
     state.exchange_soon = client.exchange_soon
-    state.broadcast_urgent = lambda: client.broadcast_urgent(TELL_WITHIN_S)
+    state.broadcast_urgent = lambda: client.broadcast_urgent(
+        BROADCAST_TIMEOUT_S
+    )
     return peerings.Peering(node, client, credentials, settings.advertise)
 
 
-def _sources(state: states.RouterState) -> nodes.HeartbeatHooks:
-    def hot(
+def _heartbeat_hooks(state: states.RouterState) -> nodes.HeartbeatHooks:
+    def update_hot_prefixes(
         peer: str,
         prefixes: tuple[request_rates.HotPrefix, ...],
         total_rate_per_s: float,
@@ -56,7 +58,7 @@
         hot_prefixes=state.prefix_rates.hottest,
         total_rate_per_s=state.prefix_rates.own_total_rate_per_s,
         on_quarantine=state.suspects.merge,
-        on_hot_prefixes=hot,
+        on_hot_prefixes=update_hot_prefixes,
         leaving=lambda: state.stopping,
     )
 
--- a/toucanrudder/router/services.py
+++ b/toucanrudder/router/services.py
@@ -1,4 +1,4 @@
-"""An aiomisc service for one listener."""
+"""aiomisc service for one HTTP listener."""
 
 import ssl
 
@@ -12,15 +12,15 @@
     Parameters
     ----------
     application : aiohttp.web.Application
-        What is served.
+        Application to serve.
     host : str
         IP address.
     port : int
-        TCP port; 0 picks a free one, told by `address`.
+        TCP port; 0 picks a free one, which `address` then holds.
     tls : ssl.SSLContext, optional
-        For HTTPS.
+        TLS context for HTTPS; plain HTTP if None.
     stop_timeout_s : float
-        Seconds that a request may still take which came on a kept
+        Seconds allowed for a request that arrived on a keep-alive
         connection just before the listener closed.
     """
 
@@ -35,8 +35,8 @@
 
     async def start(self) -> None:
         """Bind and serve."""
-        # Without handler_cancellation a caller who left would keep its
-        # place at the engine until the whole answer had been computed.
+        # Without handler_cancellation the request of a disconnected caller
+        # would occupy the engine until its whole answer was computed.
         self._runner = web.AppRunner(
             self.application,
             handler_cancellation=True,
@@ -56,6 +56,6 @@
         self.address = "{}:{}".format(*self._runner.addresses[0][:2])
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Close the listener and what connections are left."""
+        """Close the listener and the remaining connections."""
         if self._runner is not None:
             await self._runner.cleanup()
--- a/toucanrudder/router/state.py
+++ b/toucanrudder/router/state.py
@@ -1,4 +1,4 @@
-"""What the filters of one router share."""
+"""State that the filters of one router share."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -42,22 +42,23 @@
 STEP = "state"
 NOT_CONFIGURED_RETRY_S = 1.0
 
-#: Retries that a fresh router may spend on one model: a whole batch.
-START_RETRIES = 20.0
+#: Retries that a newly started router may spend on one pool.  They cover a
+#: whole batch.
+INITIAL_RETRIES = 20.0
 
 
 @attrs.frozen
-class _Index:
-    """Tables derived from one document."""
+class _DocumentIndex:
+    """Lookup tables derived from one document."""
 
     accepted: model.Accepted
-    by_digest: dict[str, model.Organisation]
+    organisations_by_digest: dict[str, model.Organisation]
     upstreams: dict[str, model.Upstream]
 
 
-def _index(accepted: model.Accepted) -> _Index:
+def _build_index(accepted: model.Accepted) -> _DocumentIndex:
     document = accepted.document
-    return _Index(
+    return _DocumentIndex(
         accepted,
         {
             digest: organisation
@@ -74,9 +75,9 @@
 
 @attrs.define(eq=False)
 class RouterState:
-    """Tables and clients of one router; each has one owner that writes it.
+    """Tables and clients of one router.  Each table has a single writer.
 
-    Built by :func:`toucanrudder.router.assembly.build`.
+    Built by :func:`toucanrudder.router.assembly.open_state`.
     """
 
     conf: cfg.ConfigOpts
@@ -105,27 +106,27 @@
     exchange_soon: Callable[[], None] = lambda: None
     broadcast_urgent: Callable[[], Awaitable[None]] = _no_broadcast
     _budgets: dict[str, retries.RetryBudget] = attrs.field(factory=dict)
-    _indexed: _Index | None = None
+    _cached_index: _DocumentIndex | None = None
 
     @staticmethod
     def now_s() -> float:
-        """Monotonic time; the loop's timeouts count by the same clock."""
+        """Return the monotonic time, on the clock of the loop's timeouts."""
         return time.monotonic()
 
     @staticmethod
     def wall_s() -> float:
-        """Wall clock, for what routers tell each other."""
+        """Return the Unix time, for timestamps exchanged between routers."""
         return time.time()
 
     async def sleep(self, delay_s: float) -> None:
-        """Wait between two tries."""
+        """Wait between two attempts."""
         await asyncio.sleep(delay_s)
 
     def spawn(self, coroutine) -> None:
         """Run a coroutine in the background."""
         self.background.spawn(coroutine)
 
-    def _index(self) -> _Index:
+    def _index(self) -> _DocumentIndex:
         accepted = self.configuration.current
         if accepted is None:
             raise errors.RudderError(
@@ -135,10 +136,10 @@
                 peer="store",
                 retry_after_s=NOT_CONFIGURED_RETRY_S,
             )
-        indexed = self._indexed
-        if indexed is None or indexed.accepted is not accepted:
-            indexed = self._indexed = _index(accepted)
-        return indexed
+        index = self._cached_index
+        if index is None or index.accepted is not accepted:
+            index = self._cached_index = _build_index(accepted)
+        return index
 
     def document(self) -> model.Document:
         """Return the configuration in force."""
@@ -146,10 +147,10 @@
 
     def organisations_by_digest(self) -> dict[str, model.Organisation]:
         """Return organisations by the SHA-256 of their API keys."""
-        return self._index().by_digest
+        return self._index().organisations_by_digest
 
     def upstream(self, name: str) -> model.Upstream | None:
-        """Return the upstream of this name, if it is configured."""
+        """Return the configured upstream with this name, or None."""
         return self._index().upstreams.get(name)
 
     def salt(self, organisation: str) -> bytes:
@@ -164,30 +165,31 @@
         """Return the retry budget of an upstream pool."""
         budget = self._budgets.get(pool)
         if budget is None:
-            budget = retries.RetryBudget(initial_retries=START_RETRIES)
+            budget = retries.RetryBudget(initial_retries=INITIAL_RETRIES)
             self._budgets[pool] = budget
-        # Read each time: a budget outlives the document it began under.
+        # Read on each call: a budget outlives the document that it was
+        # created under.
         budget.ratio = self.document().policy.retry_ratio
         return budget
 
     def patience(
         self, upstream: str, first_token_by_s: float
     ) -> attempts.Patience:
-        """Return how long a try at the upstream may be silent."""
-        known = self.loads.get(upstream)
-        pace_s = known.report.decode_s_per_token if known else 0.0
+        """Return how long an attempt at the upstream may be silent."""
+        received = self.loads.get(upstream)
+        decode_s = received.report.decode_s_per_token if received else 0.0
         return attempts.Patience(
             silent_event_s=self.conf.upstreams.silent_event_s,
-            decode_s_per_token=pace_s,
+            decode_s_per_token=decode_s,
             first_token_by_s=first_token_by_s,
         )
 
-    def _takes_work(self, upstream: model.Upstream) -> bool:
-        known = self.loads.get(upstream.name)
-        own_state = known.report.state if known else None
+    def _accepts_work(self, upstream: model.Upstream) -> bool:
+        received = self.loads.get(upstream.name)
+        reported_state = received.report.state if received else None
         return (
-            own_state in (None, instances.LIVE)
-            and not self.instances.is_leaving(upstream.name, own_state)
+            reported_state in (None, instances.LIVE)
+            and not self.instances.is_leaving(upstream.name, reported_state)
             and not upstream.drained
             and self.loads.is_reachable(upstream.name)
         )
@@ -195,34 +197,40 @@
     def usable_upstreams(
         self, upstreams: Iterable[model.Upstream], now_s: float
     ) -> tuple[model.Upstream, ...]:
-        """Return those of the upstreams that may be given new work.
+        """Return the upstreams that may be given new work.
 
         Parameters
         ----------
         upstreams : iterable of model.Upstream
             Candidates.
         now_s : float
-            Present monotonic time.
+            Current monotonic time.
 
         Notes
         -----
-        When the reports of all have grown old, it is this router or its
-        network that is slow, not each of them: refusing everything would
-        turn a slow second into an outage, so all are used.
+        If the reports of all upstreams are stale, the likely cause is that
+        this router or its network is slow.  Refusing all requests would
+        turn a slow second into an outage, so all upstreams are used.
         """
-        taking = tuple(filter(self._takes_work, upstreams))
+        accepting = tuple(filter(self._accepts_work, upstreams))
         healthy = tuple(
-            each for each in taking if self.loads.is_healthy(each.name, now_s)
+            upstream
+            for upstream in accepting
+            if self.loads.is_healthy(upstream.name, now_s)
         )
-        return healthy or taking
+        return healthy or accepting
 
-    def engines_for(
+    def usable_engines(
         self, model_name: str, now_s: float
     ) -> tuple[model.Upstream, ...]:
         """Return the engines that may be given work for the model."""
-        return self.usable_upstreams(self._configured_for(model_name), now_s)
+        return self.usable_upstreams(
+            self._configured_engines(model_name), now_s
+        )
 
-    def _configured_for(self, model_name: str) -> tuple[model.Upstream, ...]:
+    def _configured_engines(
+        self, model_name: str
+    ) -> tuple[model.Upstream, ...]:
         return tuple(
             upstream
             for upstream in self._index().upstreams.values()
@@ -237,7 +245,7 @@
         engines: tuple[model.Upstream, ...],
         now_s: float,
     ) -> types.Decision:
-        """Choose an engine; errors as `placement.policies.decide`."""
+        """Choose an engine; raises what `placement.policies.decide` raises."""
         return self.fleet.decide(
             request,
             engines,
@@ -247,12 +255,12 @@
         )
 
     def standing(self, request: requests.ModelRequest) -> quarantine.Standing:
-        """Return how the quarantine treats the request.
+        """Return the standing of the request in the quarantine.
 
         Raises
         ------
         RudderError
-            ``quarantined``: engines died of it; it is not tried again.
+            ``quarantined``: the request crashed engines and is not run again.
         """
         standing = self.suspects.standing(
             fingerprint_of(request), self.wall_s()
@@ -269,52 +277,69 @@
     def plan_trial(
         self, request: requests.ModelRequest, now_s: float
     ) -> quarantine.Trial | None:
-        """Return where and when a suspect may run."""
-        usable = {each.name for each in self.engines_for(request.model, now_s)}
+        """Return on which engine and when a suspect request may run.
+
+        Returns
+        -------
+        quarantine.Trial or None
+            None if no engine can run the model or the request is no suspect.
+        """
+        usable = {
+            engine.name for engine in self.usable_engines(request.model, now_s)
+        }
         configured = [
-            each.name for each in self._configured_for(request.model)
+            upstream.name
+            for upstream in self._configured_engines(request.model)
         ]
         fingerprint, wall_s = fingerprint_of(request), self.wall_s()
-        # All routers rank over the same configuration; what each can use
-        # at the moment differs and would send two suspects to one engine.
+        # All routers rank the same configured engines.  The usable engines
+        # differ between routers, so that ranking those could send two
+        # suspects to one engine.
         trial = self.suspects.plan_trial(fingerprint, configured, wall_s)
         if trial is None or trial.upstream in usable:
             return trial
         return self.suspects.plan_trial(fingerprint, sorted(usable), wall_s)
 
     def record_crash(self, upstream: str, incarnation: str) -> None:
-        """Note that an engine process died with our requests in it.
+        """Record the crash of an engine process with requests in flight.
 
-        Entries that were sent to a later process are none of this crash.
+        Requests sent to a later process of the engine are not involved in
+        the crash and are left out.
         """
-        there = [
+        involved = [
             quarantine.InFlight(entry.fingerprint, entry.isolated)
             for entry in self.in_flight.entries(upstream)
             if entry.incarnation in ("", incarnation)
         ]
-        self.suspects.record_crash(upstream, incarnation, there, self.wall_s())
+        self.suspects.record_crash(
+            upstream, incarnation, involved, self.wall_s()
+        )
         self.prefix_index.forget(upstream, incarnation)
-        # The caller's resend may meet another router at once.
+        # The caller may resend to another router at once, which has to
+        # know of the crash by then.
         self.exchange_soon()
 
     def is_presumed_dead(self, upstream: str, incarnation: str) -> bool:
-        """Whether the quarantine counts a crash of this engine process."""
+        """Return whether the quarantine counts a crash of this process."""
         return self.suspects.is_presumed_dead(
             upstream, incarnation, self.wall_s()
         )
 
     def record_alive(self, upstream: str, incarnation: str) -> None:
-        """Note that an engine process presumed dead has answered."""
+        """Record that an engine process presumed dead has answered."""
         self.suspects.record_alive(upstream, incarnation, self.wall_s())
 
     def mark_unreachable(self, failure: failures.UpstreamFailure) -> None:
-        """Send nothing there until a poll gets through again."""
+        """Use the upstream no more until a load poll succeeds.
+
+        Only a refused connection counts; other failures change nothing.
+        """
         if failure.connection_refused:
             self.loads.mark_unreachable(failure.upstream)
 
 
 def fingerprint_of(request: requests.ModelRequest) -> str:
-    """Return the identity by which the quarantine knows the request."""
+    """Return the fingerprint that identifies the request in quarantine."""
     return quarantine.fingerprint(request.organisation, request.body_sha256)
 
 
