--- a/toucanrudder/router/application.py
+++ b/toucanrudder/router/application.py
@@ -72,8 +72,8 @@
         Shared by all filters.
     """
 
-    def handler(chosen, last):
-        return _handler(state, chain.compose(chosen, last))
+    def handler(request_filters, last):
+        return _handler(state, chain.compose(request_filters, last))
 
     async def healthy(request: web.Request) -> web.Response:
         return web.Response(text="ok\n")
