--- a/toucanrudder/filters/engine_try.py
+++ b/toucanrudder/filters/engine_try.py
@@ -87,7 +87,9 @@
             async with attempts.cancelled_if_unfinished(attempt, state.spawn):
                 await self._import(entry)
                 self._record_dispatch()
-                self.sink.at(self.upstream.name, attempt.call.engine_id)
+                self.sink.set_source(
+                    self.upstream.name, attempt.call.engine_id
+                )
                 await attempt.run()
         except failures.UpstreamFailure as failure:
             # Recorded here, while this request and the others in the
@@ -142,12 +144,12 @@
             client=state.engines,
             upstream=self.upstream,
             call=self._engine_call(),
-            order=self.sequencer,
+            sequencer=self.sequencer,
             sink=self.sink,
-            patience=state.patience(self.upstream.name, self.first_event_by_s),
+            limits=state.patience(self.upstream.name, self.first_event_by_s),
             incarnation=self.decision.incarnation,
             rng=state.rng,
-            on_first=on_first_event,
+            on_first_event=on_first_event,
         )
         return attempt
 
@@ -157,7 +159,7 @@
         # and an engine that is tried again may still hold the stream of an
         # earlier try.
         engine_id = uuid.uuid4().hex
-        self.sequencer.moved(engine_id.encode())
+        self.sequencer.set_identity(engine_id.encode())
         body = {
             **request.body,
             "stream": True,
--- a/toucanrudder/filters/resume.py
+++ b/toucanrudder/filters/resume.py
@@ -48,20 +48,20 @@
         state.conf.router.write_timeout_s,
         token_for=lambda *_: exchange.http.match_info["token"],
     )
-    sink.at(upstream.name, stream.engine_id)
+    sink.set_source(upstream.name, stream.engine_id)
     return attempts.Attempt(
         client=state.engines,
         upstream=upstream,
         call=engine.EngineCall(stream.engine_id, "", {}, 0, ""),
-        order=relay.Sequencer(stream.engine_id.encode(), last=last_event),
+        sequencer=relay.Sequencer(stream.engine_id.encode(), last=last_event),
         sink=sink,
-        patience=state.patience(
+        limits=state.patience(
             upstream.name,
             state.now_s() + exchange.document.policy.first_token_deadline_s,
         ),
         incarnation="",
         rng=state.rng,
-        on_first=lambda: None,
+        on_first_event=lambda: None,
     )
 
 
--- a/toucanrudder/filters/service.py
+++ b/toucanrudder/filters/service.py
@@ -225,7 +225,7 @@
     await response.prepare(exchange.http)
 
     async def write(chunk: bytes) -> None:
-        await sinks.guarded(
+        await sinks.await_write(
             exchange.http,
             response.write(chunk),
             exchange.state.conf.router.write_timeout_s,
--- a/toucanrudder/relay/__init__.py
+++ b/toucanrudder/relay/__init__.py
@@ -1,4 +1,4 @@
-"""Passing an answer on, event by event, complete and in order."""
+"""Relay of an answer's events to the caller, complete and in order."""
 
 from toucanrudder.relay.sequencer import SequenceGap
 from toucanrudder.relay.sequencer import Sequencer
--- a/toucanrudder/relay/attempt.py
+++ b/toucanrudder/relay/attempt.py
@@ -1,4 +1,4 @@
-"""One engine's work on one request, over as many connections as it takes."""
+"""One try of a request at one engine, across reconnections."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,60 +19,61 @@
 #: Failures after which the engine may still hold the stream.
 _RESUMABLE = frozenset({failures.Kind.SILENT, failures.Kind.CROSSED})
 
-#: An engine's answer to a request identity that it knows already.
-_USED_BEFORE = http.HTTPStatus.CONFLICT
+#: An engine's status for a request ID that it already knows.
+_ID_IN_USE = http.HTTPStatus.CONFLICT
 
-#: Reconnections in a row that may give nothing.
-MAX_FRUITLESS = 5
+#: Consecutive reconnections allowed without a new event.
+MAX_RECONNECTS_WITHOUT_EVENT = 5
 
-#: First pause before a second fruitless reconnection; doubles each time.
-RECONNECT_PAUSE_S = 0.05
+#: Base of the exponential backoff between reconnections without progress.
+RECONNECT_BACKOFF_S = 0.05
 
-#: A stream is silent when nothing came for this many of its own tokens.
+#: A stream is silent if nothing arrives for the time of this many tokens.
 SILENT_TOKENS = 50
 
-#: Below this, an ordinary pause of the engine would look like silence.
+#: A shorter limit would mistake ordinary pauses of an engine for silence.
 MIN_SILENT_S = 1.0
 
 
 class _Way(enum.Enum):
-    """How the next connection asks for the answer."""
+    """How the next connection requests the answer."""
 
     START = "start"
     START_ANEW = "start_anew"
     RESUME = "resume"
 
 
-class _PathLost(Exception):
-    """The connection broke, fell silent or lost an event."""
+class _ConnectionLost(Exception):
+    """The connection broke, stalled or delivered an invalid event."""
 
 
 @attrs.frozen
-class Patience:
-    """How long the attempt waits.
+class Limits:
+    """Time limits of an attempt.
 
     Parameters
     ----------
     silent_event_s : float
-        Silence after which a stream is opened anew.
+        Silence after which the router reconnects, in seconds.
     decode_s_per_token : float
-        The engine's own pace, as it reports it.
+        The engine's decode time per token, as it reports it.
     first_token_by_s : float
-        Time of the loop's clock by which the first event must have come.
+        Deadline of the first event, on the event loop's clock.
     """
 
     silent_event_s: float
     decode_s_per_token: float
     first_token_by_s: float
 
-    def silence_s(self, flowing: bool) -> float:
-        """Return how long nothing may come.
+    def silence_s(self, has_events: bool) -> float:
+        """Return the longest allowed silence, in seconds.
 
         Before the first event the engine may be computing a long prompt,
-        so only the general bound holds; a flowing stream is held to the
-        engine's own pace, since a cut path shows within a few tokens.
+        so only the general limit applies.  After it, the limit follows the
+        engine's decode speed, to detect a lost connection within the time
+        of `SILENT_TOKENS` tokens.
         """
-        if not flowing:
+        if not has_events:
             return self.silent_event_s
         paced_s = SILENT_TOKENS * self.decode_s_per_token
         return min(self.silent_event_s, max(MIN_SILENT_S, paced_s))
@@ -80,45 +81,45 @@
 
 @attrs.define
 class Attempt:
-    """A try at one engine.
+    """One try of a request at one engine.
 
     Parameters
     ----------
     client : engine.EngineClient
-        Calls the engine.
+        Client for the engine.
     upstream : model.Upstream
         The engine.
     call : engine.EngineCall
-        What it is asked.
-    order : sequencer.Sequencer
-        Order of the events, shared by all tries of the request.
+        The call to send.
+    sequencer : sequencer.Sequencer
+        Tracks the event order across all tries of the request.
     sink : sinks.Sink
-        Where fresh events go.
-    patience : Patience
-        Deadlines.
+        Receives new events.
+    limits : Limits
+        Time limits.
     incarnation : str
-        Incarnation that the decision relied on, or empty.
+        Incarnation that the placement decision assumed, or empty.
     rng : random.Random
-        For pauses.
-    on_first : callable
-        Called without arguments when the first event has come.
+        Source of backoff jitter.
+    on_first_event : callable
+        Called without arguments when the first event arrives.
     """
 
     client: engine.EngineClient
     upstream: model.Upstream
     call: engine.EngineCall
-    order: sequencer.Sequencer
+    sequencer: sequencer.Sequencer
     sink: sinks.Sink
-    patience: Patience
+    limits: Limits
     incarnation: str
     rng: random.Random
-    on_first: Callable[[], None]
+    on_first_event: Callable[[], None]
     answered_by: str = ""
-    may_hold: bool = False
-    _fruitless: int = 0
-    _flowing: bool = False
-    _anew: bool = False
-    _dropped: bool = False
+    may_hold_stream: bool = False
+    _reconnects_without_event: int = 0
+    _has_events: bool = False
+    _is_resent: bool = False
+    _is_resume_dropped: bool = False
     _deadline: asyncio.Timeout | None = None
 
     async def run(self) -> None:
@@ -127,13 +128,13 @@
         Raises
         ------
         UpstreamFailure
-            The engine cannot give the rest; its kind says what is known.
+            The engine cannot complete the answer; see its `kind`.
         CallerGone
-            Nobody takes the answer.
+            The caller disconnected or does not read.
         """
         try:
             async with asyncio.timeout_at(
-                self.patience.first_token_by_s
+                self.limits.first_token_by_s
             ) as self._deadline:
                 await self._connect_until_done()
         except TimeoutError as error:
@@ -144,150 +145,156 @@
             ) from error
 
     async def resume(self) -> None:
-        """Relay the rest of a stream that another router had started."""
-        self.may_hold = True
+        """Relay the rest of a stream that was started earlier."""
+        self.may_hold_stream = True
         await self._connect_until_done(_Way.RESUME)
 
     async def _connect_until_done(self, way: _Way = _Way.START) -> None:
         while True:
             try:
-                async with self._opening(way) as answer:
-                    self.may_hold = True
-                    self._dropped = False
+                async with self._open(way) as answer:
+                    self.may_hold_stream = True
+                    self._is_resume_dropped = False
                     self.answered_by = answer.incarnation
-                    await self._pump(answer.content)
+                    await self._relay_events(answer.content)
                 return
-            except _PathLost as error:
+            except _ConnectionLost as error:
                 reason = str(error)
                 way = _Way.RESUME
             except failures.UpstreamFailure as failure:
                 reason = failure.message
-                way = self._after(failure, way)
+                way = self._next_way(failure, way)
             await self._before_reconnecting(reason)
 
-    def _opening(self, way: _Way):
+    def _open(self, way: _Way):
         if way is _Way.RESUME:
             return self.client.resume(
-                self.upstream, self.call.engine_id, self.order.last
+                self.upstream, self.call.engine_id, self.sequencer.last
             )
         return self.client.start(
             self.upstream, self.call, fresh=way is _Way.START_ANEW
         )
 
-    def _after(self, failure: failures.UpstreamFailure, way: _Way) -> _Way:
+    def _next_way(self, failure: failures.UpstreamFailure, way: _Way) -> _Way:
         if failure.kind in _RESUMABLE:
-            # The request was sent, so the engine may be at work on it.
-            self.may_hold = True
-            self._dropped = (
+            # The request was sent, so the engine may be processing it.
+            self.may_hold_stream = True
+            self._is_resume_dropped = (
                 way is _Way.RESUME
                 and failure.kind is failures.Kind.SILENT
                 and failure.message != failures.NO_BYTES_IN_TIME
             )
             return _Way.RESUME
-        if way is _Way.RESUME and self._never_arrived(failure):
-            # It was written into a pooled connection that had lost its
-            # path.  The engine is well, and a try elsewhere might meet
-            # another such connection: a path that loses all of them at
-            # once would use up the retries of all callers.
-            self._anew = True
+        if way is _Way.RESUME and self._is_request_lost(failure):
+            # The request was lost on a stale pooled connection.  The engine
+            # is healthy, and a retry elsewhere might hit another stale
+            # connection: a network fault that breaks all of them at once
+            # would use up the retries of all callers.
+            self._is_resent = True
             return _Way.START_ANEW
-        if way is _Way.START_ANEW and failure.status == _USED_BEFORE:
-            # It was late, not lost, and has arrived meanwhile.
+        if way is _Way.START_ANEW and failure.status == _ID_IN_USE:
+            # The first request was delayed, not lost, and has arrived.
             return _Way.RESUME
-        raise self._classified(failure, way is _Way.RESUME) from failure
+        raise self._classify(failure, way is _Way.RESUME) from failure
 
-    def _never_arrived(self, failure: failures.UpstreamFailure) -> bool:
+    def _is_request_lost(self, failure: failures.UpstreamFailure) -> bool:
         return (
             failure.kind is failures.Kind.LOST
-            and not self._restarted(failure)
-            and not self._anew
-            and self.order.last == 0
+            and not self._is_restarted(failure)
+            and not self._is_resent
+            and self.sequencer.last == 0
             and bool(self.call.path)
         )
 
-    def _restarted(self, failure: failures.UpstreamFailure) -> bool:
-        known = self.answered_by or self.incarnation
+    def _is_restarted(self, failure: failures.UpstreamFailure) -> bool:
+        expected_incarnation = self.answered_by or self.incarnation
         return bool(
-            known and failure.incarnation and failure.incarnation != known
+            expected_incarnation
+            and failure.incarnation
+            and failure.incarnation != expected_incarnation
         )
 
-    async def _pump(self, content: aiohttp.StreamReader) -> None:
-        self.order.reconnected()
-        while not self.order.done:
+    async def _relay_events(self, content: aiohttp.StreamReader) -> None:
+        self.sequencer.reset_connection()
+        while not self.sequencer.done:
             chunk = await self._read(content)
             if not chunk:
-                # Closed before [DONE]: never to be taken for the end.
-                raise _PathLost("closed before the end")
-            events = self.order.feed(chunk)
+                # Closed before [DONE], so the answer is incomplete.
+                raise _ConnectionLost("connection closed before [DONE]")
+            events = self.sequencer.feed(chunk)
             if events:
-                self._progress()
+                self._record_progress()
                 await self.sink.write(events)
-            self._check_order()
+            self._check_sequence()
 
     async def _read(self, content: aiohttp.StreamReader) -> bytes:
-        # A path that lost track of the connection gives neither data nor
-        # an error, for good.  Only silence tells, and only a connection of
-        # its own gets through.
+        # A network device that dropped the connection's state yields
+        # neither data nor an error.  Only a timeout detects this, and only
+        # a new connection gets through.
         try:
-            # What has arrived already is taken without the cost of a timer.
+            # Data that is already buffered is read without starting a timer.
             chunk = content.read_nowait()
             if chunk:
                 return chunk
-            async with asyncio.timeout(self.patience.silence_s(self._flowing)):
+            async with asyncio.timeout(
+                self.limits.silence_s(self._has_events)
+            ):
                 return await content.readany()
         except TimeoutError as error:
-            raise _PathLost(failures.NO_BYTES_IN_TIME) from error
+            raise _ConnectionLost(failures.NO_BYTES_IN_TIME) from error
         except (aiohttp.ClientError, OSError) as error:
-            raise _PathLost(repr(error)) from error
+            raise _ConnectionLost(repr(error)) from error
 
-    def _check_order(self) -> None:
+    def _check_sequence(self) -> None:
         try:
-            self.order.check()
+            self.sequencer.check()
         except (sequencer.SequenceGap, sequencer.ForeignEvent) as error:
-            raise _PathLost(repr(error)) from error
+            raise _ConnectionLost(repr(error)) from error
         except sequencer.EventTooLarge as error:
             raise failures.UpstreamFailure(
-                failures.Kind.ERROR, self.upstream.name, "event too large"
+                failures.Kind.ERROR,
+                self.upstream.name,
+                "event exceeds the size limit",
             ) from error
 
-    def _progress(self) -> None:
-        self._fruitless = 0
-        if not self._flowing:
-            self._flowing = True
+    def _record_progress(self) -> None:
+        self._reconnects_without_event = 0
+        if not self._has_events:
+            self._has_events = True
             if self._deadline is not None:
                 self._deadline.reschedule(None)
-            self.on_first()
+            self.on_first_event()
 
     async def _before_reconnecting(self, reason: str) -> None:
-        # An engine that is computing a long prompt is silent, answers each
-        # reconnection, and must not be given up; the deadline of the first
-        # token bounds that.  All else is bounded by the count.
-        if self._flowing or reason != failures.NO_BYTES_IN_TIME:
-            self._fruitless += 1
-        if self._fruitless > MAX_FRUITLESS:
-            # Behind a balancer a dead engine does not refuse connections:
-            # they open and break at once.  Taken for a mere broken path,
-            # its crash would blame nobody, and the request that caused it
-            # would go on to the next engine.
+        # An engine that computes a long prompt is silent but accepts each
+        # reconnection, and must not be abandoned: only the first-token
+        # deadline applies.  All other reconnections are counted.
+        if self._has_events or reason != failures.NO_BYTES_IN_TIME:
+            self._reconnects_without_event += 1
+        if self._reconnects_without_event > MAX_RECONNECTS_WITHOUT_EVENT:
+            # Behind a load balancer, connections to a dead engine are not
+            # refused: they open and break at once.  If this counted as a
+            # network fault, the request that crashed the engine would not
+            # become a suspect and would be retried on the next engine.
             kind = failures.Kind.SILENT
-            if self._dropped:
+            if self._is_resume_dropped:
                 kind = failures.Kind.BROKEN
             raise failures.UpstreamFailure(kind, self.upstream.name, reason)
-        if self._fruitless > 1:
-            pause_s = RECONNECT_PAUSE_S * 2**self._fruitless
+        if self._reconnects_without_event > 1:
+            pause_s = RECONNECT_BACKOFF_S * 2**self._reconnects_without_event
             await asyncio.sleep(pause_s * self.rng.uniform(0.5, 1.0))
 
-    def _classified(
+    def _classify(
         self, failure: failures.UpstreamFailure, resuming: bool
     ) -> failures.UpstreamFailure:
-        restarted = self._restarted(failure)
-        gone = resuming and failure.connection_refused
-        if (failure.kind is failures.Kind.LOST and restarted) or gone:
+        is_restarted = self._is_restarted(failure)
+        is_gone = resuming and failure.connection_refused
+        if (failure.kind is failures.Kind.LOST and is_restarted) or is_gone:
             return attrs.evolve(failure, kind=failures.Kind.CRASHED)
-        if self.may_hold and failure.kind in failures.PROVES_NOT_RUN:
-            # The request went out on an earlier connection: that this one
-            # failed, or that the engine refused to begin anew, proves
-            # nothing about it.
+        if self.may_hold_stream and failure.kind in failures.PROVES_NOT_RUN:
+            # The request was sent on an earlier connection.  The failure
+            # of this one, or the engine's refusal to start again, does not
+            # prove that it did not run.
             return attrs.evolve(failure, kind=failures.Kind.SILENT)
         return failure
 
@@ -296,24 +303,24 @@
 async def cancelled_if_unfinished(
     attempt: Attempt, spawn: Callable[[object], None]
 ):
-    """Cancel the engine's work if the attempt ends before its answer does.
+    """Cancel the engine's work if the attempt ends with it unfinished.
 
-    Not so for a caller that left in the middle of a stream.
+    The work is not cancelled if a caller leaves during a stream.
 
     Parameters
     ----------
     attempt : Attempt
-        The try.
+        The attempt to watch.
     spawn : callable
-        Takes a coroutine and runs it in the background.
+        Runs a coroutine in the background.
     """
     try:
         yield attempt
     except (sinks.CallerGone, asyncio.CancelledError):
-        # A caller that has begun to read a stream has its token, and may
-        # already be resuming at another router: a cancel from here would
-        # take the stream from under it.  Without a reader the engine ends
-        # the work by itself after its resume window.
+        # Once a stream has started, the caller has its resume token and
+        # may already be resuming at another router, so cancelling could
+        # end a stream in use.  Without a reader, the engine ends the work
+        # by itself after its resume window.
         if not attempt.sink.started:
             _cancel(attempt, spawn)
         raise
@@ -323,5 +330,5 @@
 
 
 def _cancel(attempt: Attempt, spawn: Callable[[object], None]) -> None:
-    if attempt.may_hold and not attempt.order.done:
+    if attempt.may_hold_stream and not attempt.sequencer.done:
         spawn(attempt.client.cancel(attempt.upstream, attempt.call.engine_id))
--- a/toucanrudder/relay/sequencer.py
+++ b/toucanrudder/relay/sequencer.py
@@ -1,4 +1,4 @@
-"""Splits a stream into numbered events and lets each pass once."""
+"""Splits a stream into numbered events and drops duplicates."""
 
 SEPARATOR = b"\n\n"
 DONE_LINE = b"\ndata: [DONE]"
@@ -6,36 +6,36 @@
 
 
 class SequenceGap(Exception):
-    """An event is missing: the stream must be resumed after the last one."""
+    """An event is missing; the stream must be resumed after the last one."""
 
 
 class ForeignEvent(Exception):
-    """An event of another request stands in this stream."""
+    """The stream contains an event of another request."""
 
 
 class EventTooLarge(Exception):
-    """An event is larger than any engine has reason to send."""
+    """An event exceeds `MAX_EVENT_BYTES`."""
 
 
 class Sequencer:
-    """Order of one answer's events, over all connections it comes by.
+    """Tracker of one answer's event order across all its connections.
 
     Parameters
     ----------
     identity : bytes
-        The request's identity at the engine; each data event holds it.
+        The request's ID at the engine; each data event contains it.
     last : int
-        Number of the last event that the caller has.
+        Number of the last event that the caller received.
 
     Examples
     --------
     >>> from toucanrudder import relay
-    >>> order = relay.Sequencer(b"r1")
-    >>> order.feed(b'id: 1\\ndata: {"id": "r1"}\\n\\nid: 2\\nda')
+    >>> events = relay.Sequencer(b"r1")
+    >>> events.feed(b'id: 1\\ndata: {"id": "r1"}\\n\\nid: 2\\nda')
     b'id: 1\\ndata: {"id": "r1"}\\n\\n'
-    >>> order.feed(b'ta: [DONE]\\n\\n')
+    >>> events.feed(b'ta: [DONE]\\n\\n')
     b'id: 2\\ndata: [DONE]\\n\\n'
-    >>> order.done
+    >>> events.done
     True
     """
 
@@ -43,42 +43,42 @@
         self.last = last
         self.done = False
         self._identity = identity
-        self._rest = b""
-        self._wrong: Exception | None = None
+        self._partial = b""
+        self._error: Exception | None = None
 
-    def reconnected(self) -> None:
-        """Forget what a broken connection left behind."""
-        self._rest = b""
-        self._wrong = None
+    def reset_connection(self) -> None:
+        """Discard the partial event and error of a broken connection."""
+        self._partial = b""
+        self._error = None
 
-    def moved(self, identity: bytes) -> None:
-        """Expect the events that follow under another identity."""
+    def set_identity(self, identity: bytes) -> None:
+        """Expect the next events to contain another request ID."""
         self._identity = identity
-        self._rest = b""
+        self._partial = b""
 
     def feed(self, chunk: bytes) -> bytes:
-        """Take bytes and return the fresh events that they complete.
+        """Add received bytes and return the new events that are complete.
 
-        Events that the caller has already are left out.  At a wrong event
-        it stops; `check` raises for it once the events before it, which
-        count as passed on, have been.
+        Events that the caller already has are left out.  Stops at an
+        invalid event, for which `check` raises.  The events before it are
+        returned and count as relayed, so write them before `check`.
         """
-        data = self._rest + chunk if self._rest else chunk
-        whole, separator, self._rest = data.rpartition(SEPARATOR)
-        if len(self._rest) > MAX_EVENT_BYTES:
-            self._wrong = EventTooLarge(str(len(self._rest)))
+        data = self._partial + chunk if self._partial else chunk
+        whole, separator, self._partial = data.rpartition(SEPARATOR)
+        if len(self._partial) > MAX_EVENT_BYTES:
+            self._error = EventTooLarge(str(len(self._partial)))
         if not separator:
             return b""
         events = whole.split(SEPARATOR)
-        if self._all_plain(whole, events):
+        if self._accept_all(whole, events):
             return whole + separator
-        return self._fresh(events)
+        return self._new_events(events)
 
-    def _all_plain(self, whole: bytes, events: list[bytes]) -> bool:
-        """Pass data events at once if each is as expected.
+    def _accept_all(self, whole: bytes, events: list[bytes]) -> bool:
+        """Accept all events at once if they are the expected data events.
 
-        Checking event by event costs several times as much.  Whatever is
-        out of the ordinary here is left to that check.
+        This fast path is several times cheaper than checking event by
+        event; all other input is left to that check.
         """
         first, count = self.last + 1, len(events)
         starts = [b"id: %d\n" % n for n in range(first, first + count)]
@@ -91,43 +91,43 @@
         self.last += count
         return True
 
-    def _fresh(self, events: list[bytes]) -> bytes:
-        fresh = []
+    def _new_events(self, events: list[bytes]) -> bytes:
+        new_events = []
         try:
             for event in events:
-                if self._passes(event):
-                    fresh.append(event + SEPARATOR)
+                if self._accept(event):
+                    new_events.append(event + SEPARATOR)
         except (SequenceGap, ForeignEvent) as error:
-            # Raised from here, it would lose the good events that came in
-            # the same chunk: the stream would go on after them.
-            self._wrong = error
-        return b"".join(fresh)
+            # Raising here would lose the valid events of the same chunk,
+            # since the stream is resumed after them.
+            self._error = error
+        return b"".join(new_events)
 
     def check(self) -> None:
-        """Raise if a wrong event has come.
+        """Raise if an invalid event was received.
 
         Raises
         ------
         SequenceGap
-            An event between the last one and this one is missing.
+            An event before the received one is missing.
         ForeignEvent
             The event belongs to another request.
         EventTooLarge
             An event exceeds `MAX_EVENT_BYTES`.
         """
-        if self._wrong is not None:
-            raise self._wrong
+        if self._error is not None:
+            raise self._error
 
-    def _passes(self, event: bytes) -> bool:
+    def _accept(self, event: bytes) -> bool:
         expected = self.last + 1
         if not event.startswith(b"id: %d\n" % expected):
-            number = _number(event)
-            # Comments and events without a number carry nothing; a resumed
-            # connection may repeat what was passed on before.
+            number = _event_number(event)
+            # Comments and unnumbered events carry no data, and a resumed
+            # connection may repeat events that were already relayed.
             if number is None or number <= self.last:
                 return False
             raise SequenceGap(f"{number} follows {self.last}")
-        if closes(event):
+        if is_closing_event(event):
             self.done = True
         elif self._identity not in event:
             raise ForeignEvent(f"event {expected}")
@@ -135,17 +135,18 @@
         return True
 
 
-def closes(event: bytes) -> bool:
-    """Tell whether the event closes its stream.
+def is_closing_event(event: bytes) -> bool:
+    """Return whether the event is_closing_event its stream.
 
-    Only a whole last line does: a model can be brought to write the words
-    into a chunk, which would then pass for the end of a cut answer.  JSON
-    holds no bare line feed, so no chunk can end like this.
+    Only a complete last line does.  A model can be made to generate the
+    same text inside a chunk, which must not be taken for the end of an
+    answer that was cut off.  JSON contains no bare line feed, so no chunk
+    can end with such a line.
     """
     return event.rstrip(b"\n").endswith(DONE_LINE)
 
 
-def _number(event: bytes) -> int | None:
+def _event_number(event: bytes) -> int | None:
     first, _, _ = event.partition(b"\n")
     name, _, value = first.partition(b": ")
     if name != b"id" or not value.isdigit():
--- a/toucanrudder/relay/sinks.py
+++ b/toucanrudder/relay/sinks.py
@@ -1,4 +1,4 @@
-"""Where an answer goes: to the caller as it comes, or as a whole."""
+"""Receivers of an answer: streamed to the caller, or collected."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -12,54 +12,54 @@
 from toucanrudder.relay import sequencer
 from toucanrudder.relay import transcript
 
-#: Enough of a stream's end to hold the chunk with its usage.
+#: Bytes kept of a stream's end, enough for the chunk with its usage.
 TAIL_BYTES = 4096
 
 RESUME_TOKEN = "X-Resume-Token"
 
 
 class CallerGone(Exception):
-    """The caller left or no longer reads."""
+    """The caller disconnected or no longer reads."""
 
 
 class Sink:
-    """Takes the fresh events of one answer, in order.
+    """Receiver of the new events of one answer, in order.
 
-    `started` says whether the caller has been sent a byte: until then the
-    request may be refused or run elsewhere as if nothing had happened.
+    `started` is true once bytes were sent to the caller.  Until then, the
+    request can still be refused with an error status.
     """
 
     started = False
 
-    def at(self, upstream: str, engine_id: str) -> None:
-        """Note the engine, and the stream there, that gives what follows."""
+    def set_source(self, upstream: str, engine_id: str) -> None:
+        """Set the engine and stream that the next events come from."""
 
     async def write(self, events: bytes) -> None:
-        """Take events."""
+        """Add events."""
         raise NotImplementedError
 
     def text_so_far(self) -> str | None:
-        """Return the text to continue from, or None if there is no way."""
+        """Return the text to continue from, or None if that is impossible."""
         raise NotImplementedError
 
     def usage(self) -> dict | None:
-        """Return the usage that the engine gave, once the answer is whole."""
+        """Return the usage reported by the engine with a complete answer."""
         raise NotImplementedError
 
 
 class StreamSink(Sink):
-    """Server-sent events to the caller.
+    """Sink that sends server-sent events to the caller.
 
     Parameters
     ----------
     http_request : aiohttp.web.Request
         The caller's request.
     headers : dict
-        Headers of the answer.
+        Response headers.
     write_timeout_s : float
-        Seconds a chunk may stay unread.
+        Time limit for the caller to read a chunk, in seconds.
     token_for : callable
-        Gives the resume token of a stream at an engine.
+        Returns the resume token for an upstream and an engine ID.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         token_for: Callable[[str, str], str],
     ):
         self._token_for = token_for
-        self._moved = b""
+        self._resume_comment = b""
         self._http = http_request
         self._write_timeout_s = write_timeout_s
         self._transcript = transcript.Transcript()
@@ -83,32 +83,34 @@
         )
         self._tail = b""
 
-    def at(self, upstream: str, engine_id: str) -> None:
-        """Tell the caller where to resume.
+    def set_source(self, upstream: str, engine_id: str) -> None:
+        """Send the caller the token to resume the stream.
 
-        The token stands in a header until that is sent, and in a comment
-        once the stream goes on at another engine; readers of events skip
-        comments, and those who resume look for the latest.
+        The token is sent as a header, or as a comment once the headers
+        are sent and the stream continues at another engine.  Event parsers
+        skip comments; a caller that resumes uses the latest token.
         """
         token = self._token_for(upstream, engine_id)
         if self.started:
-            self._moved = b": resume-token " + token.encode() + b"\n\n"
+            self._resume_comment = (
+                b": resume-token " + token.encode() + b"\n\n"
+            )
         else:
             self.response.headers[RESUME_TOKEN] = token
 
     async def write(self, events: bytes) -> None:
-        """Send the events; raise `CallerGone` if nobody takes them."""
+        """Send the events; raise `CallerGone` if the caller is gone."""
         if not self.started:
             self.started = True
-            await self._guarded(self.response.prepare(self._http))
+            await self._await_write(self.response.prepare(self._http))
         self._transcript.add(events)
         self._tail = events[-TAIL_BYTES:]
-        data = self._moved + events
-        self._moved = b""
-        await self._guarded(self.response.write(data))
+        data = self._resume_comment + events
+        self._resume_comment = b""
+        await self._await_write(self.response.write(data))
 
     def usage(self) -> dict | None:
-        """Return the usage in the last chunk, if it had one."""
+        """Return the last usage among the stream's final chunks, if any."""
         last = None
         _, _, whole = self._tail.partition(sequencer.SEPARATOR)
         for chunk in assembly.chunks_of(whole):
@@ -119,24 +121,24 @@
         """End the stream with an explicit error and without ``[DONE]``."""
         body = json.dumps(error.as_body(request_id)).encode()
         event = b"event: error\ndata: " + body + b"\n\n"
-        await self._guarded(self.response.write(event))
+        await self._await_write(self.response.write(event))
 
     def text_so_far(self) -> str | None:
-        """Return the text that the caller has."""
+        """Return the text sent to the caller."""
         return self._transcript.text()
 
-    async def _guarded(self, awaitable) -> None:
-        await guarded(self._http, awaitable, self._write_timeout_s)
+    async def _await_write(self, awaitable) -> None:
+        await await_write(self._http, awaitable, self._write_timeout_s)
 
 
-async def guarded(
+async def await_write(
     http_request: web.Request, awaitable: Awaitable, timeout_s: float
 ) -> None:
     """Await a write to the caller; raise `CallerGone` if it does not read.
 
-    A caller that never reads would hold its buffers, a slot in the engine
-    and this task for ever.  aiohttp's write waits once the connection's
-    bounded buffer is full, so a deadline on it bounds all three.
+    A caller that never reads would keep its buffers, an engine slot and
+    this task forever.  aiohttp's write blocks once the connection's bounded
+    buffer is full, so a deadline on the write bounds all three.
     """
     try:
         async with asyncio.timeout(timeout_s):
@@ -146,27 +148,27 @@
             http_request.transport.abort()
         raise CallerGone("caller does not read") from error
     except (ConnectionError, RuntimeError) as error:
-        raise CallerGone("caller left") from error
+        raise CallerGone("caller disconnected") from error
 
 
 class WholeSink(Sink):
-    """Collects the events of an answer that the caller wants whole."""
+    """Sink that collects the events of an unstreamed answer."""
 
     def __init__(self):
         self._assembly = assembly.Assembly()
 
     async def write(self, events: bytes) -> None:
-        """Take events; nothing is sent before the answer is whole."""
+        """Add events; nothing is sent before the answer is complete."""
         self._assembly.add(events)
 
     def answer(self) -> dict:
-        """Return the whole answer."""
+        """Return the complete answer."""
         return self._assembly.answer()
 
     def usage(self) -> dict | None:
-        """Return the usage that the engine gave."""
+        """Return the usage reported by the engine."""
         return self._assembly.usage()
 
     def text_so_far(self) -> str | None:
-        """Return the text gathered so far."""
+        """Return the text collected so far."""
         return self._assembly.plain_text()
--- a/toucanrudder/relay/tests/test_attempts.py
+++ b/toucanrudder/relay/tests/test_attempts.py
@@ -18,10 +18,10 @@
 
 
 class FailingClient:
-    """An engine at which each call fails in the way given for it."""
+    """Client whose calls fail in turn with the given failures."""
 
-    def __init__(self, *fails):
-        self.fails = list(fails)
+    def __init__(self, *planned_failures):
+        self.planned_failures = list(planned_failures)
 
     @contextlib.asynccontextmanager
     async def start(self, upstream, call, fresh=False):
@@ -33,41 +33,43 @@
         raise self._failure("resume")
         yield
 
-    def _failure(self, asked):
-        expected, kind = self.fails.pop(0)
-        assert asked == expected
+    def _failure(self, method):
+        expected, kind = self.planned_failures.pop(0)
+        assert method == expected
         return failures.UpstreamFailure(kind, UPSTREAM.name, "reset")
 
 
 SENT = ("start", Kind.SILENT)
-UNKNOWN_THERE = ("resume", Kind.LOST)
+LOST_AT_ENGINE = ("resume", Kind.LOST)
 FAILED = [
-    # what each call comes to, what the failure says of the request
+    # Failure of each call, and the expected `ran` of the final failure.
     ([("start", Kind.REFUSED)], NOT_RUN),
     ([("start", Kind.NOT_REACHED)], NOT_RUN),
     ([SENT, ("resume", Kind.REFUSED)], UNKNOWN),
     ([SENT, ("resume", Kind.NOT_REACHED)], UNKNOWN),
-    ([SENT, UNKNOWN_THERE, ("start", Kind.REFUSED)], UNKNOWN),
-    ([SENT, UNKNOWN_THERE, ("start", Kind.NOT_REACHED)], UNKNOWN),
+    ([SENT, LOST_AT_ENGINE, ("start", Kind.REFUSED)], UNKNOWN),
+    ([SENT, LOST_AT_ENGINE, ("start", Kind.NOT_REACHED)], UNKNOWN),
 ]
 
 
-@pytest.mark.parametrize(("fails", "ran"), FAILED)
-async def test_a_refusal_speaks_of_its_own_sending_only(fails, ran):
-    """The request is sent, its answer lost, and a later sending refused."""
-    client = FailingClient(*fails)
+@pytest.mark.parametrize(("planned_failures", "ran"), FAILED)
+async def test_refused_resend_leaves_the_outcome_unknown(
+    planned_failures, ran
+):
+    """A refused resend does not prove that the first request did not run."""
+    client = FailingClient(*planned_failures)
     deadline_s = asyncio.get_running_loop().time() + 10
     attempt = attempts.Attempt(
         client=client,
         upstream=UPSTREAM,
         call=engine.EngineCall("r1", "/v1/completions", {}, 1, ""),
-        order=relay.Sequencer(b"r1"),
+        sequencer=relay.Sequencer(b"r1"),
         sink=sinks.WholeSink(),
-        patience=attempts.Patience(1.0, 0.01, deadline_s),
+        limits=attempts.Limits(1.0, 0.01, deadline_s),
         incarnation="",
         rng=random.Random(1),
-        on_first=lambda: None,
+        on_first_event=lambda: None,
     )
     with pytest.raises(failures.UpstreamFailure) as caught:
         await attempt.run()
-    assert (caught.value.ran, client.fails) == (ran, [])
+    assert (caught.value.ran, client.planned_failures) == (ran, [])
--- a/toucanrudder/relay/tests/test_bad_callers.py
+++ b/toucanrudder/relay/tests/test_bad_callers.py
@@ -51,8 +51,8 @@
 
 
 async def test_slow_sender_is_refused_before_anything_runs():
-    """The caller sends a byte of its body now and then, for ever.  The
-    deadline is on the whole body, so it gets 408 and nothing has run.
+    """The caller sends its body one byte at a time without end.  The
+    deadline covers the whole body, so it gets 408 and nothing has run.
     """
     settings = {"router": {"body_timeout_s": 0.3}}
     async with fleets.running(fleets.Plan(settings=settings)) as fleet:
@@ -78,9 +78,9 @@
 
 
 async def test_callers_that_never_read_cost_bounded_memory():
-    """Callers ask for long streams and read nothing.  The router stops
-    reading from the engine once its own small buffer is full, and gives
-    each of them up after the write timeout.
+    """Callers request long streams and read nothing.  The router stops
+    reading from the engine once its small buffer is full, and drops each
+    caller after the write timeout.
     """
     count, tokens = 8, 60_000
     plan = fleets.Plan(
@@ -118,7 +118,7 @@
                 await asyncio.sleep(0.02)
         for connection in sockets:
             connection.close()
-        # The streams have some 75 MB together.
+        # The streams total some 75 MB.
         assert peak_bytes - before_bytes < 32 * 2**20
         answer = await callers.stream(fleet.session, router.url, BODY)
         assert answer.end is callers.End.DONE
@@ -127,9 +127,9 @@
 @pytest.mark.parametrize("streamed", [True, False])
 async def test_engines_work_ends_when_the_caller_leaves(streamed):
     """The caller closes its connection in the middle of a long answer; the
-    engine's work for it ends long before the answer would have.  A whole
-    answer is cancelled at once.  A stream may be resumed at another router,
-    so that it ends by the engine's resume window.
+    engine's work ends long before the answer would.  An unstreamed answer
+    is cancelled at once.  A stream may be resumed at another router, so it
+    ends after the engine's resume window.
     """
     window_s = 0.5 if streamed else 300.0
     plan = fleets.Plan(
--- a/toucanrudder/relay/tests/test_own_answers.py
+++ b/toucanrudder/relay/tests/test_own_answers.py
@@ -30,10 +30,10 @@
 @pytest.mark.parametrize("streamed", [True, False])
 @pytest.mark.parametrize("fault", FAULTS)
 async def test_caller_gets_its_own_answer(fleet, fault, streamed):
-    """On a connection used before, a late or crossed answer to another
-    request comes first.  The identity in it is not ours, so the router
-    drops that connection and asks for our answer on a new one.  The engine
-    runs each request once: a late refusal proves nothing about ours.
+    """A reused connection first delivers a late or crossed answer to
+    another request.  Its request ID differs, so the router closes that
+    connection and requests the answer on a new one.  The engine runs each
+    request once: a late refusal proves nothing about this request.
     """
     url = fleet.routers[0].url
     await callers.whole(fleet.session, url, _body())
@@ -63,8 +63,8 @@
 
 
 async def test_pipelined_callers_get_answers_in_order(fleet):
-    """A caller writes six requests before it reads; some have errors.  The
-    answers come in the order of the requests, each with its identity.
+    """A caller writes six requests before it reads; some are invalid.
+    The answers arrive in the order of the requests, each with its ID.
     """
     bodies = [_body() for _ in range(6)]
     bodies[2]["model"] = "no-such-model"
--- a/toucanrudder/relay/tests/test_sequencer.py
+++ b/toucanrudder/relay/tests/test_sequencer.py
@@ -18,28 +18,27 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 7, 1000])
-def test_events_pass_once_whatever_the_pieces(size):
+def test_each_event_is_relayed_once_for_any_chunk_size(size):
     raw = _data(1, "a") + b": comment\n\n" + _data(1, "a") + _data(2, "b")
     raw += DONE
-    order = relay.Sequencer(ID)
-    passed = b""
+    events = relay.Sequencer(ID)
+    relayed = b""
     for start in range(0, len(raw), size):
-        passed += order.feed(raw[start : start + size])
-    assert passed == _data(1, "a") + _data(2, "b") + DONE
-    assert order.done
+        relayed += events.feed(raw[start : start + size])
+    assert relayed == _data(1, "a") + _data(2, "b") + DONE
+    assert events.done
 
 
 @pytest.mark.parametrize(
     "text", ["data: [DONE]", "id: 2 data: [DONE]", "[DONE]"]
 )
 def test_generated_text_cannot_end_the_stream(text):
-    """A model that is asked to write the closing line writes it inside a
-    chunk.  Taken for the end, it would cut the answer and let it look
-    complete.
+    """A model may generate the text of the closing line inside a chunk.
+    If that ended the stream, a truncated answer would look complete.
     """
-    order = relay.Sequencer(ID)
-    assert order.feed(_data(1, text)) == _data(1, text)
-    assert not order.done
+    events = relay.Sequencer(ID)
+    assert events.feed(_data(1, text)) == _data(1, text)
+    assert not events.done
 
 
 @pytest.mark.parametrize(
@@ -51,29 +50,29 @@
     ],
 )
 def test_wrong_event_is_not_passed_on(event, error):
-    order = relay.Sequencer(ID)
-    assert order.feed(event) == b""
+    events = relay.Sequencer(ID)
+    assert events.feed(event) == b""
     with pytest.raises(error):
-        order.check()
-    assert order.last == 0
+        events.check()
+    assert events.last == 0
 
 
-@pytest.mark.parametrize("wrong", [_data(3, "c"), _data(2, "b", "r2")])
-def test_good_events_before_a_wrong_one_are_kept(wrong):
-    """A good and a wrong event come in one chunk.  The good one counts as
-    passed on, so it must be; else the stream goes on after a hole.
+@pytest.mark.parametrize("invalid", [_data(3, "c"), _data(2, "b", "r2")])
+def test_valid_events_before_an_invalid_one_are_kept(invalid):
+    """A valid and an invalid event arrive in one chunk.  The valid one
+    counts as relayed, so dropping it would leave a gap in the stream.
     """
-    order = relay.Sequencer(ID)
-    assert order.feed(_data(1, "a") + wrong) == _data(1, "a")
+    events = relay.Sequencer(ID)
+    assert events.feed(_data(1, "a") + invalid) == _data(1, "a")
     with pytest.raises((sequencer.SequenceGap, sequencer.ForeignEvent)):
-        order.check()
-    assert order.last == 1
-    order.reconnected()
-    order.check()
+        events.check()
+    assert events.last == 1
+    events.reset_connection()
+    events.check()
 
 
-def test_half_event_of_a_broken_connection_is_forgotten():
-    order = relay.Sequencer(ID)
-    order.feed(_data(1, "a") + _data(2, "b")[:20])
-    order.reconnected()
-    assert order.feed(_data(2, "b")) == _data(2, "b")
+def test_partial_event_of_a_broken_connection_is_discarded():
+    events = relay.Sequencer(ID)
+    events.feed(_data(1, "a") + _data(2, "b")[:20])
+    events.reset_connection()
+    assert events.feed(_data(2, "b")) == _data(2, "b")
--- a/toucanrudder/relay/tests/test_sessions.py
+++ b/toucanrudder/relay/tests/test_sessions.py
@@ -42,14 +42,14 @@
 }
 
 
-def _steady(text):
+def _normalise(text):
     for pattern, replacement in VARYING:
         text = pattern.sub(replacement, text)
     return text
 
 
 async def _session(fleet, method, path, body, headers):
-    """Return the exchange as text, without what varies between runs."""
+    """Return the exchange as text, with varying parts replaced."""
     async with fleet.session.request(
         method,
         fleet.routers[0].url + path,
@@ -61,13 +61,13 @@
             if name in response.headers:
                 lines.append(f"{name}: {response.headers[name]}")
         raw = await response.read()
-    return _steady("\n".join([*lines, "", raw.decode()]))
+    return _normalise("\n".join([*lines, "", raw.decode()]))
 
 
 @pytest.mark.parametrize("name", SESSIONS)
 async def test_session(name, snapshot):
-    """The whole exchange as the caller sees it, byte for byte but for
-    identities, tokens and times.
+    """The exchange seen by the caller equals its snapshot, except for IDs,
+    tokens and times.
     """
     async with fleets.running() as fleet:
         assert await _session(fleet, *SESSIONS[name]) == snapshot
@@ -76,9 +76,9 @@
 @pytest.mark.parametrize(
     "action", [proxy.Action.CUT, proxy.Action.FREEZE, proxy.Action.DELAY]
 )
-async def test_session_under_a_fault_equals_the_plain_one(action):
+async def test_connection_fault_does_not_change_the_session(action):
     """The connection to the engine is cut, frozen or delayed in the middle
-    of the third event; the caller's bytes are those of a plain session.
+    of the third event; the caller receives the same bytes as without fault.
     """
     async with fleets.running() as fleet:
         plain = await _session(fleet, *SESSIONS["chat"])
--- a/toucanrudder/relay/tests/test_silent_connections.py
+++ b/toucanrudder/relay/tests/test_silent_connections.py
@@ -29,10 +29,10 @@
 
 
 async def test_idle_engine_connections_gone_silent():
-    """All connections to the engines lose their path while idle; new ones
-    work.  Requests that are written into them vanish without an error.
-    After `silent_event_s` the router asks on a new connection, learns that
-    the engine knows nothing, and runs the request; each caller is answered.
+    """All idle connections to the engines stop delivering data; new ones
+    work.  Requests written to them are lost without an error.  After
+    `silent_event_s` the router asks on a new connection, learns that the
+    engine does not know the request, and runs it; each caller is answered.
     """
     plan = fleets.Plan(engines=2, settings=SETTINGS)
     async with fleets.running(plan) as fleet:
@@ -53,9 +53,9 @@
 
 
 async def test_load_polls_gone_silent():
-    """The connection of the load polls loses its path.  Each poll has a
-    deadline, the next uses a new connection, and the router learns that
-    the engine leaves.
+    """The connection of the load polls stops delivering data.  Each poll
+    has a deadline, the next one uses a new connection, and the router
+    learns that the engine is leaving.
     """
     async with fleets.running(fleets.Plan(settings=SETTINGS)) as fleet:
 
@@ -73,9 +73,9 @@
 
 
 async def test_store_watch_gone_silent():
-    """The watch on the configuration loses its path, which looks like "no
-    change".  It has a deadline above its wait, so a new one is opened on a
-    new connection and the new generation takes effect.
+    """The configuration watch stops delivering data, which looks like "no
+    change".  It has a deadline longer than its wait, so the router opens a
+    new watch on a new connection, and the new generation takes effect.
     """
     async with fleets.running(fleets.Plan(settings=SETTINGS)) as fleet:
         await callers.whole(fleet.session, fleet.routers[0].url, BODY)
@@ -107,9 +107,9 @@
 @pytest.mark.parametrize("method", ["PUT", "POST", "DELETE"])
 async def test_lost_answer_of_a_service_is_not_sent_again(method, fail):
     """The service runs a call that may not be repeated and the connection
-    breaks before its answer.  The client library would send a PUT or a
-    DELETE a second time by itself; the service must see one run, and the
-    caller must hear that the outcome is unknown.
+    breaks before its answer.  The client library would resend a PUT or a
+    DELETE on its own.  The service must run the call once, and the caller
+    must get "outcome unknown".
     """
     routes = [{"method": method, "path_prefix": "/book", "repeatable": False}]
     plan = fleets.Plan(engines=0, services=1, routes=routes)
--- a/toucanrudder/relay/tests/test_streams.py
+++ b/toucanrudder/relay/tests/test_streams.py
@@ -32,7 +32,7 @@
 
 
 def _body():
-    """Return a body whose answer no other test's request has."""
+    """Return a body with a unique answer."""
     prompt = f"interlock of cell {next(_numbers)}"
     return {"model": "demo", "prompt": prompt, "max_tokens": TOKENS}
 
@@ -63,7 +63,7 @@
 
 @pytest_asyncio.fixture(loop_scope="module")
 async def faults(fleet):
-    """Set a fault on all engines; it ends with the test."""
+    """Set a fault on all engines until the test ends."""
 
     async def put(**named):
         for name in fleet.upstreams:
@@ -83,10 +83,10 @@
 async def test_connection_fault_at_each_event(
     fleet, faults, action, after, partial
 ):
-    """The caller sees one whole stream, though its connection to the engine
-    broke, fell silent for good or paused after `after` events (or in the
-    middle of the next one).  The router opens a new connection and resumes
-    after the last event; the engine runs the request once.
+    """The router's connection to the engine breaks, stalls or pauses after
+    `after` events, or in the middle of the next one.  The router reconnects
+    and resumes after the last event.  The caller gets one complete stream,
+    and the engine runs the request once.
     """
     body = _body()
     rules = [
@@ -107,10 +107,10 @@
 async def test_event_fault_at_each_event(
     fleet, faults, streamed, fault, event
 ):
-    """An event comes twice, not at all, or from another answer; or the
-    answer ends early in good form, breaks or stops.  The numbers and
-    identities in the events tell; the router resumes after the last good
-    event, and the caller sees one whole answer.
+    """An event is duplicated, missing or from another answer, or the answer
+    ends early, breaks or stalls.  The router detects this by the numbers
+    and IDs in the events and resumes after the last valid event.  The
+    caller gets one complete answer.
     """
     body = _body()
     await faults(**{fault: event})
@@ -129,9 +129,9 @@
 
 @pytest.mark.parametrize("event", range(1, LAST))
 async def test_engine_crash_is_continued_elsewhere(fleet, faults, event):
-    """The engine dies after event `event`.  The router gives the text so
-    far to the other engine, which goes on with the next event; the caller
-    sees one whole stream.
+    """The engine dies after event `event`.  The router sends the text so
+    far to the other engine, which continues with the next event; the caller
+    gets one complete stream.
     """
     body = _body()
     await faults(crash_after_event=event)
@@ -142,9 +142,9 @@
 
 
 async def test_crash_after_the_first_tokens_deadline(fleet, faults):
-    """The engine dies when the caller's deadline for the first token has
-    passed.  The first token was in time, so the deadline has no say any
-    more, and the stream is continued.
+    """The engine dies after the caller's first-token deadline.  The first
+    token was in time, so the deadline no longer applies, and the stream is
+    continued.
     """
     deadline_s = 3.0
     body = _body() | {"max_tokens": 400}
@@ -168,7 +168,7 @@
 @pytest.mark.parametrize("streamed", [True, False])
 @pytest.mark.parametrize("event", range(1, LAST))
 async def test_incomplete_answer_never_looks_complete(event, streamed):
-    """The only engine dies after event `event` and nothing can go on.  The
+    """The only engine dies after event `event` and none can continue.  The
     caller gets an explicit error, never a clean end or a shorter answer.
     """
     async with fleets.running(fleets.Plan()) as fleet:
@@ -192,7 +192,7 @@
     """The caller's stream breaks after event `event`, because its router
     was killed or (`alive`) only their connection was cut.  The caller
     resumes at another router with the token and the last number and gets
-    the rest, although the first router notices late that it has left.
+    the rest, even if the first router notices the disconnect late.
     """
     body = _body() | {"max_tokens": TOKENS}
     router = await fleet.start_router()
@@ -225,7 +225,7 @@
 
 
 async def test_resume_is_for_its_organisation_only(fleet, faults):
-    """Another organisation that got hold of the token learns nothing."""
+    """Another organisation cannot use the token."""
     answer = await callers.stream(
         fleet.session, fleet.routers[0].url, _body(), stop_after=1
     )
--- a/toucanrudder/relay/tokens.py
+++ b/toucanrudder/relay/tokens.py
@@ -1,4 +1,4 @@
-"""Tokens by which a caller resumes a stream at any router."""
+"""Signed tokens with which a caller resumes a stream at any router."""
 
 import base64
 import binascii
@@ -12,12 +12,12 @@
 
 STEP = "resume"
 _MAC_BYTES = 16
-_PERSON = b"resume-token"
+_PERSONALISATION = b"resume-token"
 
 
 @attrs.frozen
 class Stream:
-    """Where a stream runs, and whose it is."""
+    """Location and owner of a stream, as encoded in its token."""
 
     upstream: str
     engine_id: str
@@ -25,12 +25,12 @@
 
 
 def _mac(fleet_key: str, payload: bytes) -> bytes:
-    key = hashlib.blake2b(fleet_key.encode(), person=_PERSON).digest()
+    key = hashlib.blake2b(fleet_key.encode(), person=_PERSONALISATION).digest()
     return hashlib.blake2b(payload, key=key, digest_size=_MAC_BYTES).digest()
 
 
 def sign(fleet_key: str, stream: Stream) -> str:
-    """Return a token that only holders of the fleet key can make.
+    """Return a token for the stream, authenticated with the fleet key.
 
     Examples
     --------
@@ -46,12 +46,12 @@
 
 
 def verify(fleet_key: str, token: str) -> Stream:
-    """Return what the token says.
+    """Return the stream that a valid token names.
 
     Raises
     ------
     RudderError
-        ``unknown_stream`` if it was not made with this key.
+        ``unknown_stream`` if the token was not signed with this key.
     """
     try:
         data = base64.urlsafe_b64decode(token.encode())
@@ -60,6 +60,6 @@
     mac, payload = data[:_MAC_BYTES], data[_MAC_BYTES:]
     if not hmac.compare_digest(mac, _mac(fleet_key, payload)):
         raise errors.RudderError(
-            errors.Code.UNKNOWN_STREAM, "not a token of ours", step=STEP
+            errors.Code.UNKNOWN_STREAM, "invalid resume token", step=STEP
         )
     return Stream(*json.loads(payload))
--- a/toucanrudder/router/state.py
+++ b/toucanrudder/router/state.py
@@ -174,11 +174,11 @@
 
     def patience(
         self, upstream: str, first_token_by_s: float
-    ) -> attempts.Patience:
+    ) -> attempts.Limits:
         """Return how long an attempt at the upstream may be silent."""
         received = self.loads.get(upstream)
         decode_s = received.report.decode_s_per_token if received else 0.0
-        return attempts.Patience(
+        return attempts.Limits(
             silent_event_s=self.conf.upstreams.silent_event_s,
             decode_s_per_token=decode_s,
             first_token_by_s=first_token_by_s,
