--- a/toucanrudder/router/tests/test_configuration_everywhere.py
+++ b/toucanrudder/router/tests/test_configuration_everywhere.py
@@ -1,4 +1,7 @@
-"""Promise 9: in force everywhere, and never reverting; real processes."""
+"""Promise 9: a configuration is in force at all routers and never reverts.
+
+The tests run real processes.
+"""
 
 import asyncio
 import contextlib
@@ -9,12 +12,12 @@
 from toucanrudder.testing import fleet as fleets
 from toucanrudder.testing import proxy as proxies
 
-FAST = {"peers": {"interval_s": 0.1, "silent_s": 1.0}}
+FAST_GOSSIP = {"peers": {"interval_s": 0.1, "silent_s": 1.0}}
 
 
 @contextlib.asynccontextmanager
 async def deployment(routers=2, **settings):
-    plan = fleets.Plan(routers=0, settings=FAST | settings)
+    plan = fleets.Plan(routers=0, settings=FAST_GOSSIP | settings)
     async with fleets.running(plan) as fleet:
         for _ in range(routers):
             await control.start_router(fleet)
@@ -26,22 +29,22 @@
 
 
 async def test_in_force_at_eight_routers_with_one_slow_peer():
-    """All routers get the document though one peer answers nothing.
+    """All routers get the document while one peer does not respond.
 
     One router's peer port is behind a proxy whose connections are open
-    and silent.  Exchanges with it wait for their deadline; the others'
-    watches and exchanges go on.
+    and silent.  Exchanges with it run into their deadline, which must not
+    delay the watches and exchanges of the other routers.
     """
     async with deployment(7) as fleet, proxies.proxied("") as slow:
         slow_peer = await control.start_router(
-            fleet, peers=FAST["peers"] | {"advertise": slow.address}
+            fleet, peers=FAST_GOSSIP["peers"] | {"advertise": slow.address}
         )
         slow.target = slow_peer.process.ready["peer_address"]
 
-        async def talking():
+        async def connected():
             return len(slow.connections) > 0
 
-        await control.until(talking)
+        await control.until(connected)
         slow.freeze()
         document = control.changed(fleet.document(), 11)
         status, answer = await operator(fleet, 3).apply(document, 1)
@@ -50,35 +53,36 @@
 
 
 @pytest.mark.parametrize("mode", ["hang_watches", "down"])
-async def test_peers_tell_when_the_store_does_not(mode):
-    """A router with a dead path to the store hears it from its peers.
+async def test_peers_propagate_a_change_without_the_store(mode):
+    """A router cut off from the store gets the change from its peers.
 
-    Its watch is silent for good, which looks like "no change", or the
-    store refuses it.  The operator applies through another router.
+    Either its watch stays silent, which looks like "no change", or its
+    connections to the store are refused.  The operator applies the change
+    through another router.
     """
     async with contextlib.AsyncExitStack() as stack:
         fleet = await stack.enter_async_context(deployment(1))
-        path = await stack.enter_async_context(
+        store_proxy = await stack.enter_async_context(
             proxies.proxied(fleet.platform.address)
         )
         await control.start_router(
-            fleet, store={"address": path.address, "watch_wait_s": 300}
+            fleet, store={"address": store_proxy.address, "watch_wait_s": 300}
         )
-        path.freeze()
+        store_proxy.freeze()
         if mode == "down":
-            path.refusing = True
-            path.cut()
+            store_proxy.refusing = True
+            store_proxy.cut()
         document = control.changed(fleet.document(), 11)
         assert (await operator(fleet).apply(document, 1))[0] == 200
         await control.all_at(fleet, 2)
 
 
 @pytest.mark.parametrize("store", ["ok", "down"])
-async def test_a_restarted_router_does_not_go_back(store):
-    """The new process serves the newest document, store or no store.
+async def test_a_restarted_router_does_not_revert(store):
+    """A restarted router serves the newest document, even without the store.
 
-    A router is killed after a change and started again.  With the store
-    down, the generation comes from the other router.
+    A router is killed after a change and started again.  If the store is
+    down, it gets the document from the other router.
     """
     async with deployment(2) as fleet:
         document = control.changed(fleet.document(), 11)
@@ -91,12 +95,12 @@
         assert (await control.ask(fleet, fleet.routers[2]))[0] == 200
 
 
-async def test_the_store_comes_back_in_an_older_state():
-    """The change stays in force, also for routers started later.
+async def test_a_change_outlives_a_restore_of_the_store():
+    """A change stays in force although the store is restored to before it.
 
-    The platform restores its store from before the change.  A running
-    router writes back what is in force; else the change would end with
-    the last router that holds it.
+    A running router writes the configuration in force back to the store.
+    Otherwise the change would be lost with the last router that holds it,
+    and routers started later would use the older document.
     """
     async with deployment(2) as fleet:
         await control.post(fleet, "/snapshot")
@@ -117,16 +121,17 @@
 
 
 async def test_two_operators_race():
-    """One gets a conflict that names the winner's generation and author.
+    """One of two concurrent applies fails with a conflict.
 
-    Both apply on top of generation 1 at two routers at one moment.
+    Both operators apply on top of generation 1, at two routers.  The
+    conflict names the generation and author of the applied document.
     """
     async with deployment(2) as fleet:
         operators = [operator(fleet, i, name) for i, name in enumerate("xy")]
         answers = await asyncio.gather(
             *(
-                each.apply(control.changed(fleet.document(), 11 + i), 1)
-                for i, each in enumerate(operators)
+                client.apply(control.changed(fleet.document(), 11 + i), 1)
+                for i, client in enumerate(operators)
             )
         )
         assert sorted(status for status, _ in answers) == [200, 409]
@@ -137,16 +142,16 @@
         assert error["error"]["generation"] == 2
         assert error["error"]["author"] == winner["author"]
         await control.all_at(fleet, 2)
-        for each in operators:
-            found = await each.get("/configuration")
-            assert found["apply_id"] == winner["apply_id"]
+        for client in operators:
+            current = await client.get("/configuration")
+            assert current["apply_id"] == winner["apply_id"]
 
 
-async def test_the_answer_to_the_operators_write_is_lost():
-    """The operator is told that it is done, and it was done once.
+async def test_an_apply_succeeds_though_the_stores_answer_is_lost():
+    """The operator's apply succeeds and is written once.
 
-    The store takes the write and its answer is lost.  The router reads
-    back its apply_id.
+    The store performs the write, but its answer is lost.  The router
+    recognises its own write by the apply_id that it reads back.
     """
     async with deployment(2) as fleet:
         await fleet.put_faults(
@@ -160,7 +165,7 @@
         assert value["apply_id"] == answer["apply_id"]
 
 
-async def test_a_store_that_is_down_refuses_the_operator():
+async def test_an_apply_is_refused_while_the_store_is_down():
     async with deployment(1) as fleet:
         await fleet.put_faults("platform", mode="down")
         document = control.changed(fleet.document(), 11)
@@ -177,7 +182,7 @@
         document["models"] = []
         status, answer = await operator(fleet).apply(document, 1)
         assert status == 422
-        paths = [each["path"] for each in answer["error"]["problems"]]
+        paths = [problem["path"] for problem in answer["error"]["problems"]]
         assert "$.organisations[0].requests_per_s" in paths
         assert "$.upstreams[0].slots" in paths
         assert await operator(fleet).generation() == 1
--- a/toucanrudder/router/tests/test_configuration_session.py
+++ b/toucanrudder/router/tests/test_configuration_session.py
@@ -1,4 +1,4 @@
-"""A whole session of two operators, against a golden file."""
+"""A session of two operators, compared with a golden file."""
 
 import copy
 import json
@@ -11,7 +11,7 @@
 from toucanrudder.testing import fleet as fleets
 from toucanrudder.testing import processes
 
-IDENTITY = re.compile(r"[0-9a-f]{32}")
+APPLY_ID = re.compile(r"[0-9a-f]{32}")
 
 
 @pytest.fixture
@@ -24,7 +24,7 @@
     return json.loads(path.read_text(encoding="utf-8"))
 
 
-def broken():
+def document_with_invalid_references():
     document = copy.deepcopy(example())
     document["upstreams"][1]["address"] = "engine-2:80"
     document["upstreams"][2]["name"] = "engine-1"
@@ -32,7 +32,7 @@
     return document
 
 
-def misspelt():
+def document_with_invalid_fields():
     document = copy.deepcopy(example())
     document["policy"]["retry_ration"] = 0.5
     document["organisations"][2]["weight"] = 0
@@ -40,52 +40,56 @@
 
 
 class Session:
-    """Calls of operators with their answers, identities masked."""
+    """Log of the operators' calls and answers, with apply_ids masked."""
 
     def __init__(self, fleet):
-        self.fleet, self.lines = fleet, []
+        self.fleet, self.entries = fleet, []
 
     async def apply(self, index, name, document, expected):
         operator = control.Operator(
             self.fleet.session, self.fleet.routers[index], name
         )
         status, body = await operator.apply(document, expected)
-        self.lines.append(
+        self.entries.append(
             {
                 "operator": name,
                 "router": self.fleet.routers[index].name,
                 "expected_generation": expected,
                 "status": status,
-                "answer": json.loads(IDENTITY.sub("*", json.dumps(body))),
+                "answer": json.loads(APPLY_ID.sub("*", json.dumps(body))),
             }
         )
 
-    async def in_force(self):
+    async def log_generations(self):
         generations = {}
         for router in self.fleet.routers:
             operator = control.Operator(self.fleet.session, router)
-            found = await operator.get("/configuration")
-            generations[router.name] = [found["generation"], found["author"]]
-        self.lines.append({"in force": generations})
+            current = await operator.get("/configuration")
+            generations[router.name] = [
+                current["generation"],
+                current["author"],
+            ]
+        self.entries.append({"in force": generations})
 
 
 async def test_a_session_of_two_operators(golden):
-    """What both see, from mistakes over a race to an outage.
+    """Check every answer that two operators get in a session.
 
-    Two documents are refused with everything wrong in them.  One is
-    applied, the other operator's comes too late.  An answer is lost and
-    settled; with the store down nothing is changed.
+    Two invalid documents are refused with all their problems.  A valid one
+    is applied, and the other operator's, based on the old generation, is
+    refused.  The store's answer to the next write is lost, and the write is
+    confirmed by reading it back.  With the store down nothing changes.
     """
     plan = fleets.Plan(routers=2)
     async with fleets.running(plan) as fleet:
         session = Session(fleet)
-        await session.in_force()
-        await session.apply(0, "ann", misspelt(), 1)
-        await session.apply(0, "ann", broken(), 1)
+        await session.log_generations()
+        await session.apply(0, "ann", document_with_invalid_fields(), 1)
+        await session.apply(0, "ann", document_with_invalid_references(), 1)
         await session.apply(0, "ann", example(), 1)
         await control.all_at(fleet, 2)
         await session.apply(1, "bob", fleet.document(), 1)
-        await session.in_force()
+        await session.log_generations()
         await fleet.put_faults(
             "platform", mode="lose_answers", kind="configuration", times=1
         )
@@ -93,5 +97,5 @@
         await control.all_at(fleet, 3)
         await fleet.put_faults("platform", mode="down")
         await session.apply(0, "ann", example(), 3)
-        await session.in_force()
-        assert session.lines == golden
+        await session.log_generations()
+        assert session.entries == golden
--- a/toucanrudder/router/tests/test_planned_stop.py
+++ b/toucanrudder/router/tests/test_planned_stop.py
@@ -18,10 +18,10 @@
         services=1,
         routers=routers,
         routes=ROUTES,
-        # Few slots, so that much of the work is queued at the stop.
+        # Few slots, so that many requests are queued at the stop.
         engine_options={"decode_s_per_token": 0.02},
         service_options={"delay_s": service_s},
-        # Must exceed the time for which the balancer may be behind.
+        # Must exceed the lag of the balancer's readiness checks.
         settings={"router": {"drain_s": 2.0}},
     )
 
@@ -35,15 +35,15 @@
 
 
 class Balancer:
-    """Callers' view: routers that say they are ready, by turns."""
+    """Load balancer that picks ready routers in turn."""
 
     def __init__(self, fleet):
         self._fleet = fleet
         self.routers = list(fleet.routers)
         self._turn = 0
 
-    async def url(self):
-        """Return a ready router; a router that is gone isn't one."""
+    async def ready_url(self):
+        """Return the URL of a ready router; skip routers that are gone."""
         for _ in range(1000):
             self._turn += 1
             router = self.routers[self._turn % len(self.routers)]
@@ -59,15 +59,15 @@
         raise AssertionError("no router is ready")
 
 
-async def whole_stream(fleet, url, number):
+async def check_stream(fleet, url, number):
     answer = await callers.stream(fleet.session, url, body(number))
-    want = output.expected_text("/v1/completions", body(number))
+    expected = output.expected_text("/v1/completions", body(number))
     assert answer.end is callers.End.DONE, answer
-    assert answer.text == want
+    assert answer.text == expected
     return answer
 
 
-async def booked(fleet, url, number):
+async def book(fleet, url, number):
     async with fleet.session.post(
         f"{url}/services/desk/bookings",
         data=b"x",
@@ -78,91 +78,95 @@
 
 
 async def test_a_stop_under_load_cuts_no_request():
-    """SIGTERM comes while long streams run, others wait in the queue, a
+    """SIGTERM arrives while long streams run, others wait in the queue, a
     booking is at the service, and callers keep idle connections open.
 
-    Each gets its whole answer, and so does a request that comes on a kept
-    connection right after the signal; then the router exits with 0.
+    All requests get their whole answers, and so does a request that arrives
+    on a keep-alive connection right after the signal.  Then the router
+    exits with 0.
     """
     async with fleets.running(plan(routers=1)) as fleet:
         router = fleet.routers[0]
-        # Leaves a kept connection behind.
+        # Leaves an idle keep-alive connection open.
         await callers.whole(fleet.session, router.url, body(-1))
-        work = [
-            asyncio.ensure_future(whole_stream(fleet, router.url, number))
+        calls = [
+            asyncio.ensure_future(check_stream(fleet, router.url, number))
             for number in range(60)
         ]
-        work.append(asyncio.ensure_future(booked(fleet, router.url, 0)))
+        calls.append(asyncio.ensure_future(book(fleet, router.url, 0)))
 
         async def running():
             runs = await fleet.runs()
             return len(runs) >= 10 and any("service" in r for r in runs)
 
         await control.until(running)
-        ended = asyncio.ensure_future(router.process.stop())
-        work.append(
-            asyncio.ensure_future(whole_stream(fleet, router.url, 1000))
+        stopped = asyncio.ensure_future(router.process.stop())
+        calls.append(
+            asyncio.ensure_future(check_stream(fleet, router.url, 1000))
         )
-        await asyncio.gather(*work)
-        assert await ended == 0, router.process.stderr()
+        await asyncio.gather(*calls)
+        assert await stopped == 0, router.process.stderr()
 
 
-async def test_all_routers_in_turn_cut_no_request():
+async def test_replacing_all_routers_in_turn_cuts_no_request():
     """Three routers are replaced one after the other under steady load.
 
-    The balancer sends new work to routers that say they are ready.  No
+    The balancer sends new requests to routers that say they are ready.  No
     request is refused or cut, and each old router exits with 0.
     """
     async with fleets.running(plan(routers=3)) as fleet:
         balancer = Balancer(fleet)
         stop = asyncio.Event()
-        done = []
+        completed = []
 
         async def caller(first):
             number = first
             while not stop.is_set():
-                await whole_stream(fleet, await balancer.url(), number)
-                await booked(fleet, await balancer.url(), number)
-                done.append(number)
+                await check_stream(fleet, await balancer.ready_url(), number)
+                await book(fleet, await balancer.ready_url(), number)
+                completed.append(number)
                 number += 100
 
         load = [asyncio.ensure_future(caller(n)) for n in range(8)]
         for old in list(fleet.routers):
-            before = len(done)
+            before = len(completed)
             balancer.routers.append(await control.start_router(fleet))
             status = await old.process.stop()
             assert status == 0, old.process.stderr()
             balancer.routers.remove(old)
 
-            async def went_on(before=before):
-                return len(done) > before or any(c.done() for c in load)
+            async def progressed(before=before):
+                return len(completed) > before or any(
+                    task.done() for task in load
+                )
 
-            await control.until(went_on)
+            await control.until(progressed)
         stop.set()
         await asyncio.gather(*load)
-        assert len(done) >= 3
+        assert len(completed) >= 3
 
 
-@pytest.mark.parametrize("background", [True, False])
-async def test_a_run_without_its_caller_is_waited_for(background):
-    """A booking's caller leaves, and the router is told to stop.
+@pytest.mark.parametrize("caller_leaves", [True, False])
+async def test_a_stop_waits_for_a_running_booking(caller_leaves):
+    """A booking's caller disconnects, and the router is told to stop.
 
-    The run goes on for the caller's next try; a stop that did not wait
-    would lose its answer.  The resend, at another router, finds it.
+    The run goes on, so that a resend gets its answer; a stop that did not
+    wait would lose it.  The resend to another router gets the answer
+    without a second run.
     """
     # Longer than anything else that a stop waits for.
     async with fleets.running(plan(routers=2, service_s=4.0)) as fleet:
         first, second = fleet.routers
-        call = asyncio.ensure_future(booked(fleet, first.url, 7))
+        call = asyncio.ensure_future(book(fleet, first.url, 7))
 
-        async def begun():
+        async def run_started():
             return len(await fleet.runs()) == 1
 
-        await control.until(begun)
-        if background:
+        await control.until(run_started)
+        if caller_leaves:
             call.cancel()
         assert await first.process.stop() == 0
-        if not background:
+        if not caller_leaves:
             await call
-        await booked(fleet, second.url, 7)
+        await book(fleet, second.url, 7)
         assert len(await fleet.runs()) == 1
--- a/toucanrudder/router/tests/test_process.py
+++ b/toucanrudder/router/tests/test_process.py
@@ -17,9 +17,9 @@
     return "".join((task / "children").read_text() for task in tasks)
 
 
-async def test_a_serving_router_has_no_ring_and_no_child():
+async def test_a_serving_router_uses_no_io_uring_and_no_child():
     """The users' instances allow neither io_uring nor child processes, and
-    libuv would open a ring by itself at loop start.
+    libuv by default sets up io_uring when a loop starts.
     """
     async with fleets.running() as fleet:
         router = fleet.routers[0]
--- a/toucanrudder/router/tests/test_state.py
+++ b/toucanrudder/router/tests/test_state.py
@@ -4,10 +4,10 @@
 from toucanrudder.router import state
 
 
-def test_a_new_document_changes_the_budgets_that_exist():
-    """Operators lower the retries allowed while a pool is failing.  The
-    pool's budget was made under the old document; the new ratio must hold
-    for it at once, not after a restart.
+def test_a_new_document_changes_existing_budgets():
+    """Operators lower the retry ratio while a pool is failing.  The pool's
+    budget was created under the old document; the new ratio must apply to
+    it at once, not only after a restart.
     """
     documents = [
         model.Document(policy=model.Policy(retry_ratio=ratio))
--- a/toucanrudder/router/tests/test_weight_orders.py
+++ b/toucanrudder/router/tests/test_weight_orders.py
@@ -1,4 +1,4 @@
-"""Orders under a lease: a paused holder, and engines of both kinds."""
+"""Weight orders under a lease, at engines with and without fencing checks."""
 
 import contextlib
 import os
@@ -9,14 +9,14 @@
 from toucanrudder.testing import processes
 from toucanrudder.testing import proxy as proxies
 
-CHECKS, IGNORES = "engine-0", "engine-1"
+FENCED, UNFENCED = "engine-0", "engine-1"
 
 
 def with_weights(fleet, version):
     document = fleet.document()
     models = [{"name": fleets.MODEL, "weights_version": version}]
     upstreams = [
-        each | {"checks_fencing": each["name"] == CHECKS}
+        each | {"checks_fencing": each["name"] == FENCED}
         for each in document["upstreams"]
     ]
     policy = {"weight_loads_at_once": 1}
@@ -33,30 +33,30 @@
     return next((r for r in fleet.routers if r.name == name), None)
 
 
-async def versions(fleet):
-    found = set()
+async def loaded_versions(fleet):
+    versions = set()
     for process in fleet.upstreams.values():
         async with fleet.session.get(f"{process.url}/load") as response:
-            found.add((await response.json())["models"][fleets.MODEL])
-    return found
+            versions.add((await response.json())["models"][fleets.MODEL])
+    return versions
 
 
-async def all_have(fleet, version):
-    async def there():
-        return await versions(fleet) == {version}
+async def wait_for_version(fleet, version):
+    async def is_loaded():
+        return await loaded_versions(fleet) == {version}
 
-    await control.until(there)
+    await control.until(is_loaded)
 
 
 async def orders(fleet, name):
     return (await fleet.journal(name))["orders"]
 
 
-class Isolated:
+class IsolatableRouters:
     """Two routers that reach the store and each other through proxies."""
 
     def __init__(self):
-        self.stores, self.peers = {}, {}
+        self.store_proxies, self.peer_proxies = {}, {}
 
     async def start(self, fleet, stack):
         paths = [
@@ -71,47 +71,53 @@
                 router={"peer_seeds": other and other.address},
             )
             peer.target = router.process.ready["peer_address"]
-            self.stores[router.name] = store
-            self.peers[router.name] = peer
+            self.store_proxies[router.name] = store
+            self.peer_proxies[router.name] = peer
 
     def cut_off(self, router):
-        for path in (self.stores[router.name], *self.peers.values()):
+        for path in (
+            self.store_proxies[router.name],
+            *self.peer_proxies.values(),
+        ):
             path.refusing = True
             path.cut()
 
     def heal(self):
-        for path in (*self.stores.values(), *self.peers.values()):
+        for path in (
+            *self.store_proxies.values(),
+            *self.peer_proxies.values(),
+        ):
             path.refusing = False
 
 
-async def has_tried(operator, times):
-    """Wait until the router has looked for the store a few times."""
+async def wait_for_failed_watches(operator, times):
+    """Wait until the router's watch has failed at least `times` times."""
     name = 'configuration_events_total{event="watch_StoreUnavailable"'
 
-    async def tried():
+    async def has_failed():
         for line in (await operator.metrics()).splitlines():
             if name in line:
                 return float(line.split()[-1]) >= times
         return False
 
-    await control.until(tried)
+    await control.until(has_failed)
 
 
 async def test_a_paused_holder_and_the_next_one():
     """Both engines end with the weights of the document in force.
 
-    The router that holds the lease is stopped and cut off.  After its
-    term another takes over and orders newer weights.  The first wakes,
-    still knows only the older document and sees other weights at the
-    engines.  One engine would refuse its number, the other would obey.
+    The lease holder is paused and cut off.  After its term another router
+    takes over and orders newer weights.  The first resumes with the older
+    document and sees different weights at the engines.  Only one of the
+    engines would refuse an order with its outdated fencing number.
     """
     plan = fleets.Plan(engines=1, routers=0)
     async with contextlib.AsyncExitStack() as stack:
         fleet = await stack.enter_async_context(fleets.running(plan))
         plan.engine_options = {"checks_fencing": False}
-        await fleet.start_upstream("engine", IGNORES)
-        isolated = Isolated()
-        await isolated.start(fleet, stack)
+        await fleet.start_upstream("engine", UNFENCED)
+        isolatable = IsolatableRouters()
+        await isolatable.start(fleet, stack)
 
         async def held():
             return await holder_of(fleet) is not None
@@ -122,31 +128,33 @@
         operator = control.Operator(fleet.session, other)
         status, _ = await operator.apply(with_weights(fleet, "w2"), 1)
         assert status == 200
-        await all_have(fleet, "w2")
+        await wait_for_version(fleet, "w2")
         os.kill(first.process.pid, signal.SIGSTOP)
-        isolated.cut_off(first)
+        isolatable.cut_off(first)
         await operator.apply(with_weights(fleet, "w3"), 2)
-        await all_have(fleet, "w3")
+        await wait_for_version(fleet, "w3")
         os.kill(first.process.pid, signal.SIGCONT)
-        await has_tried(control.Operator(fleet.session, first), 5)
-        isolated.heal()
+        await wait_for_failed_watches(
+            control.Operator(fleet.session, first), 5
+        )
+        isolatable.heal()
         await control.all_at(fleet, 3)
         assert await holder_of(fleet) is other
         await operator.apply(with_weights(fleet, "w4"), 3)
-        await all_have(fleet, "w4")
-        for name in (CHECKS, IGNORES):
-            given = await orders(fleet, name)
-            wanted = [order["weights_version"] for order in given]
-            assert wanted == sorted(wanted), given
-            numbers = [order["fencing"] for order in given]
-            assert numbers == sorted(numbers), given
+        await wait_for_version(fleet, "w4")
+        for name in (FENCED, UNFENCED):
+            received = await orders(fleet, name)
+            ordered = [order["weights_version"] for order in received]
+            assert ordered == sorted(ordered), received
+            numbers = [order["fencing"] for order in received]
+            assert numbers == sorted(numbers), received
             assert numbers[0] < numbers[-1]
 
 
 async def test_a_planned_stop_hands_the_lease_over():
-    """Another router gives orders at once after the holder has stopped.
+    """Another router takes the lease at once after the holder has stopped.
 
-    The holder gets SIGTERM.  Were the lease left to lapse, no weights
+    The holder gets SIGTERM.  If the lease were left to expire, no weights
     could be loaded for its whole term and the margin.
     """
     plan = fleets.Plan(engines=1, routers=2)
