--- a/toucanrudder/router/tests/test_weight_orders.py
+++ b/toucanrudder/router/tests/test_weight_orders.py
@@ -16,8 +16,8 @@
     document = fleet.document()
     models = [{"name": fleets.MODEL, "weights_version": version}]
     upstreams = [
-        each | {"checks_fencing": each["name"] == FENCED}
-        for each in document["upstreams"]
+        upstream | {"checks_fencing": upstream["name"] == FENCED}
+        for upstream in document["upstreams"]
     ]
     policy = {"weight_loads_at_once": 1}
     return document | {
